--- a/crates/fleet/src/away.rs
+++ b/crates/fleet/src/away.rs
@@ -164,7 +164,7 @@
     /// Work that the request brings to a region that does not keep its prefix.
     pub work: Duration,
     /// The same for the region that does.
-    pub work_at_home: Duration,
+    pub work_with_prefix: Duration,
     /// Regions of which no VM is left to try.
     pub excluded: &'a [RegionName],
 }
@@ -280,7 +280,7 @@
 
     /// Sets the other VMs' rate with this short name, in seconds each second; whether
     /// there is such a rate.
-    pub fn set_told_rate(&mut self, now: Moment, tag: u32, rate: f64) -> bool {
+    pub fn set_peer_rate(&mut self, now: Moment, tag: u32, rate: f64) -> bool {
         for (region, word) in &mut self.words {
             for service_tag in word.loads.keys() {
                 if rate_tag(region, *service_tag) == tag {
@@ -328,7 +328,7 @@
         }
         let holds_prefix = search.prefix_home == Some(region);
         let brought = if holds_prefix {
-            search.work_at_home
+            search.work_with_prefix
         } else {
             search.work
         };
--- a/crates/fleet/src/choose.rs
+++ b/crates/fleet/src/choose.rs
@@ -101,9 +101,9 @@
     /// Servers that could run it are full.
     Full,
     /// Servers are cold or failing; one may be usable after a moment.
-    Resting,
+    Unavailable,
     /// No server that could run it takes anything from this VM before the moment.
-    Held(Moment),
+    BackedOff(Moment),
     /// There is no server here that may run it.
     None,
 }
@@ -133,7 +133,7 @@
             return LocalOption::None;
         }
         if let Some(end) = self.earliest_hold_end(now, &candidates) {
-            return LocalOption::Held(end);
+            return LocalOption::BackedOff(end);
         }
         let roomy: Vec<ServerId> = candidates
             .into_iter()
@@ -165,7 +165,7 @@
             .map(|id| self.offer(now, id, needs, rng))
             .collect();
         let Some(choice) = self.draw(now, needs, &offers, owner, rng) else {
-            return LocalOption::Resting;
+            return LocalOption::Unavailable;
         };
         self.note_drawn(now, &needs.service);
         LocalOption::Free(choice)
@@ -183,12 +183,12 @@
         }
         let candidates = self.candidates(needs, excluded);
         if let Some(end) = self.earliest_hold_end(now, &candidates) {
-            return LocalOption::Held(end);
+            return LocalOption::BackedOff(end);
         }
         let free = self.free_servers(now, needs);
         let free = free.filter(|id| !excluded.contains(id));
         let calmest = free.min_by_key(|id| self.server(*id).work().requests);
-        calmest.map_or(LocalOption::Resting, |server| {
+        calmest.map_or(LocalOption::Unavailable, |server| {
             LocalOption::Free(ServerChoice {
                 server,
                 predicted: self.predict(now, server, needs),
@@ -217,7 +217,7 @@
     /// Servers in the order of hashing that are tried for a prefix before any other.
     fn prefix_count(&self, needs: &CallNeeds) -> usize {
         let shared = needs.prompt.shared_tokens();
-        let saved = self.read_time(&needs.service, shared);
+        let saved = self.prefill_time(&needs.service, shared);
         if saved < LEAST_SAVED || !self.switches().is_on(DecisionSwitch::PrefixOwner) {
             0
         } else if self.switches().is_on(DecisionSwitch::PrefixSpill) {
@@ -378,8 +378,8 @@
     /// anew, and pushes others' prefixes out.
     fn reread_cost(&self, needs: &CallNeeds) -> Duration {
         let tokens = needs.prompt.shared_tokens();
-        let priced = self.reread_price().mul_f64(tokens as f64 / 1000.0);
-        self.read_time(&needs.service, tokens) + priced
+        let priced = self.reprefill_penalty().mul_f64(tokens as f64 / 1000.0);
+        self.prefill_time(&needs.service, tokens) + priced
     }
 
     fn offer(
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -66,6 +66,6 @@
 pub use signs::ServerVotes;
 pub use switches::{ChoicePolicy, DecisionSwitch, DecisionSwitches, QuotaWay, UnknownName};
 pub use team::{KeyDigest, QuotaLimit, QuotaUnit, TeamRule, TeamTable};
-pub use view::{FleetView, REREAD_PRICE, VmPlace};
+pub use view::{FleetView, REPREFILL_PENALTY, VmPlace};
 pub use word::{RestWord, ServerWord, WordNews};
 pub use work::{URGENCIES, UnreadTokens, WorkShare};
--- a/crates/fleet/src/predict.rs
+++ b/crates/fleet/src/predict.rs
@@ -80,7 +80,7 @@
     }
 
     /// Expected time between two events of an answer at a server.
-    pub fn predict_pace(&self, now: Moment, id: ServerId, needs: &CallNeeds) -> Duration {
+    pub fn predict_event_interval(&self, now: Moment, id: ServerId, needs: &CallNeeds) -> Duration {
         let server = self.server(id);
         let pace = match server.load(now, needs) {
             ServerLoad::Engine(load) => self.costs(&needs.service).pace_ms(&load, USUAL_GAPS),
@@ -102,7 +102,7 @@
     }
 
     /// Time that servers of a service take to read `tokens` of a prompt.
-    pub fn read_time(&self, service: &ServiceName, tokens: u64) -> Duration {
+    pub fn prefill_time(&self, service: &ServiceName, tokens: u64) -> Duration {
         millis(self.costs(service).read_ms(tokens))
     }
 
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -176,7 +176,7 @@
     }
 
     /// Hash of this life, the same on every VM.
-    pub fn life_hash(&self) -> u64 {
+    pub fn instance_hash(&self) -> u64 {
         self.life
     }
 
@@ -309,13 +309,13 @@
     }
 
     /// The last sign of life that this VM has had of it.
-    pub fn last_sign(&self) -> Option<Moment> {
-        self.signs.last_sign()
+    pub fn last_liveness(&self) -> Option<Moment> {
+        self.signs.last_liveness()
     }
 
     /// Notes a sign of life.
-    pub fn note_sign(&mut self, now: Moment) {
-        self.signs.note_sign(now);
+    pub fn record_liveness(&mut self, now: Moment) {
+        self.signs.record_liveness(now);
     }
 
     /// Sets what all other VMs have under way there.
@@ -349,7 +349,7 @@
     }
 
     /// Tokens of parts that others share and that it would have to read.
-    pub fn unread_shared(&self, now: Moment, prompt: &PromptSize) -> u64 {
+    pub fn shared_prefill_tokens(&self, now: Moment, prompt: &PromptSize) -> u64 {
         let shared = prompt.shared_tokens();
         shared.saturating_sub(self.kept_tokens(now, prompt))
     }
@@ -460,7 +460,7 @@
         }
         open.answered = Some(now);
         self.rest.note_taken(id);
-        self.signs.note_sign(now);
+        self.signs.record_liveness(now);
         let read = WorkShare {
             unread: open.work.unread,
             ..WorkShare::default()
@@ -497,7 +497,7 @@
         self.rest.note_end(id);
         match result {
             AttemptResult::Succeeded => {
-                self.signs.note_sign(now);
+                self.signs.record_liveness(now);
                 self.circuit.succeed();
             }
             AttemptResult::Failed => {
@@ -509,7 +509,7 @@
                 self.circuit.trip(now);
             }
             AttemptResult::Shed => {
-                self.signs.note_sign(now);
+                self.signs.record_liveness(now);
                 self.circuit.forget();
                 self.full_until = now + FULL_PAUSE;
             }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -33,7 +33,7 @@
 /// where the settings name none. Short shared parts are held to their server by it: on a
 /// day with a loss of power 15.1 M tokens of shared parts were read again without, 11.2 M
 /// with it, and worth was 0.692 and 0.708; on three days with a rush 0.589 and 0.592.
-pub const REREAD_PRICE: Duration = Duration::from_millis(200);
+pub const REPREFILL_PENALTY: Duration = Duration::from_millis(200);
 /// Requests for each slot of a plain service's server up to which it gets more, beside
 /// those that have ended since they were told. With 2 and nothing beside, a hundred VMs
 /// took a busy server for full until they knew better and all sent to the other one: 21
@@ -106,7 +106,7 @@
     rates: RateTable,
     /// Delay that is accepted for 1,000 tokens of a shared part that need not be read
     /// again.
-    reread_price: Duration,
+    reprefill_penalty: Duration,
     /// Which versions of services may have requests, where two have servers.
     pub(crate) version_rules: BTreeMap<ServiceName, VersionRule>,
 }
@@ -137,7 +137,7 @@
             knowledge_age: Duration::ZERO,
             drawn: BTreeMap::new(),
             rates: RateTable::new(),
-            reread_price: REREAD_PRICE,
+            reprefill_penalty: REPREFILL_PENALTY,
             version_rules: BTreeMap::new(),
         }
     }
@@ -198,12 +198,12 @@
 
     /// Sets the delay that is accepted for 1,000 tokens of a shared part that need not
     /// be read again.
-    pub fn set_reread_price(&mut self, delay: Duration) {
-        self.reread_price = delay;
+    pub fn set_reprefill_penalty(&mut self, delay: Duration) {
+        self.reprefill_penalty = delay;
     }
 
-    pub(crate) fn reread_price(&self) -> Duration {
-        self.reread_price
+    pub(crate) fn reprefill_penalty(&self) -> Duration {
+        self.reprefill_penalty
     }
 
     /// Which mechanisms are on.
@@ -482,7 +482,7 @@
             latest.worked = Some(id);
         }
         self.by_tag.insert(self.servers[id].tag(), id);
-        self.by_life.insert(self.servers[id].life_hash(), id);
+        self.by_life.insert(self.servers[id].instance_hash(), id);
         self.by_name.insert(name, id);
     }
 
@@ -594,7 +594,7 @@
         if let PoolServer::Working(id) = server {
             self.by_name.remove(name);
             self.by_tag.remove(&self.servers[id].tag());
-            self.by_life.remove(&self.servers[id].life_hash());
+            self.by_life.remove(&self.servers[id].instance_hash());
             if self.servers[id].takes_work() {
                 self.note_crash(now, id);
             }
@@ -616,7 +616,7 @@
     }
 
     /// Notes that a data centre is taken back; its servers may be cold.
-    pub fn take_back(&mut self, now: Moment, center: &CenterName, table: Option<&RouteTable>) {
+    pub fn end_evacuation(&mut self, now: Moment, center: &CenterName, table: Option<&RouteTable>) {
         if !self.evacuated.remove(center) {
             return;
         }
--- a/crates/fleet/tests/choice.rs
+++ b/crates/fleet/tests/choice.rs
@@ -304,7 +304,7 @@
             prefix_home: None,
             trips: &trips,
             work: Duration::from_millis(5),
-            work_at_home: Duration::from_millis(5),
+            work_with_prefix: Duration::from_millis(5),
             excluded: &excluded,
         };
         let found = table.best(at(case.heard_ms), &search);
@@ -341,7 +341,7 @@
             prefix_home: None,
             trips: &trips,
             work: Duration::from_millis(5),
-            work_at_home: Duration::from_millis(5),
+            work_with_prefix: Duration::from_millis(5),
             excluded: &[],
         };
         table.best(at(0), &search).unwrap()
@@ -384,7 +384,7 @@
         prefix_home: None,
         trips: &trips,
         work: Duration::from_millis(20),
-        work_at_home: Duration::from_millis(20),
+        work_with_prefix: Duration::from_millis(20),
         excluded: &[],
     };
     let trip = Duration::from_millis(100);
@@ -404,8 +404,8 @@
     let first = |table: &AwayTable, ms| table.best(at(ms), &search).unwrap().predicted.first;
     let before = first(&table, 10_000);
     let now = at(10_000);
-    assert!(table.set_told_rate(now, tag, rate));
-    assert!(!table.set_told_rate(now, tag + 1, rate), "an unknown rate");
+    assert!(table.set_peer_rate(now, tag, rate));
+    assert!(!table.set_peer_rate(now, tag + 1, rate), "an unknown rate");
     // 150 ms before the word, and 250 ms after it, over two servers.
     let added = |table: &AwayTable, ms| first(table, ms).checked_sub(before).unwrap();
     for (ms, unknown, surge) in [(10_000, 0.150, 1.0), (10_250, 0.400, 0.85)] {
--- a/crates/fleet/tests/learn.rs
+++ b/crates/fleet/tests/learn.rs
@@ -239,7 +239,7 @@
     play(&mut view, &[(server, 5.0)], 20);
     assert_eq!(view.cost_reports(CostView::Own).count(), 0);
     assert!(
-        view.read_time(&"svc".parse().unwrap(), 1000) == Duration::from_millis(20),
+        view.prefill_time(&"svc".parse().unwrap(), 1000) == Duration::from_millis(20),
         "{before:?}"
     );
 }
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -225,9 +225,9 @@
 fn where_every_server_has_a_limit_the_next_turn_is_told() {
     let mut view = view_of(0, &[]);
     assert!(try_send(&mut view, at(0), 1, rate(2.0)));
-    assert_eq!(choose(&mut view, at(100)), LocalOption::Held(at(500)));
+    assert_eq!(choose(&mut view, at(100)), LocalOption::BackedOff(at(500)));
     let alone = view.choose_alone(at(100), &needs(), &[]);
-    assert_eq!(alone, LocalOption::Held(at(500)));
+    assert_eq!(alone, LocalOption::BackedOff(at(500)));
     assert_eq!(view.free_servers(at(100), &needs()).count(), 0);
     assert!(matches!(choose(&mut view, at(500)), LocalOption::Free(_)));
 }
--- a/crates/fleet/tests/lives.rs
+++ b/crates/fleet/tests/lives.rs
@@ -167,7 +167,7 @@
         for (name, born) in latest {
             let id = fleet.find(name).unwrap();
             prop_assert_eq!(fleet.server(id).record.born.millis(), born);
-            prop_assert_eq!(fleet.find_life(fleet.server(id).life_hash()), Some(id));
+            prop_assert_eq!(fleet.find_life(fleet.server(id).instance_hash()), Some(id));
         }
     }
 }
--- a/crates/fleet/tests/words.rs
+++ b/crates/fleet/tests/words.rs
@@ -268,9 +268,12 @@
         matches!(choose(&mut fleet, at(0)), LocalOption::Free(choice) if choice.server == ids[1])
     );
     fleet.take_word(at(0), ids[1], &rest(2000));
-    assert_eq!(choose(&mut fleet, at(100)), LocalOption::Held(at(2000)));
+    assert_eq!(
+        choose(&mut fleet, at(100)),
+        LocalOption::BackedOff(at(2000))
+    );
     let alone = fleet.choose_alone(at(100), &needs(), &[]);
-    assert_eq!(alone, LocalOption::Held(at(2000)));
+    assert_eq!(alone, LocalOption::BackedOff(at(2000)));
     assert_eq!(fleet.free_servers(at(100), &needs()).count(), 0);
 }
 
@@ -286,7 +289,7 @@
     fleet.start_attempt(at(1000), id, 1, &needs());
     assert_eq!(
         choose(&mut fleet, at(1001)),
-        LocalOption::Held(at(1001)),
+        LocalOption::BackedOff(at(1001)),
         "the others wait"
     );
     assert!(fleet.may_send(at(1001), id), "the try itself may be sent");
--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -94,8 +94,8 @@
             (LocalOption::Full, None) => {
                 RouteStep::Refuse(overloaded("every server is full", call.needs.goal / 2))
             }
-            (LocalOption::Held(end), None) => self.wait_for_rest(call, end - now),
-            (LocalOption::Resting | LocalOption::None, None) => {
+            (LocalOption::BackedOff(end), None) => self.wait_for_rest(call, end - now),
+            (LocalOption::Unavailable | LocalOption::None, None) => {
                 self.wait_or_refuse(call, "no server is usable", call.needs.goal / 2)
             }
         }
@@ -119,8 +119,8 @@
             return self.send_away(call, away, progress);
         }
         if let Some(away) = away {
-            let unread = server.unread_shared(now, &call.needs.prompt);
-            let saved = fleet.read_time(&call.needs.service, unread);
+            let unread = server.shared_prefill_tokens(now, &call.needs.prompt);
+            let saved = fleet.prefill_time(&call.needs.service, unread);
             let (goal, local) = (call.needs.goal, choice.predicted.loaded);
             let there = away.predicted.loaded;
             if goes_away(goal, local, saved, there, away.holds_prefix) {
@@ -192,7 +192,7 @@
     }
 
     /// Counts a request for the rates of its service, with its first attempt.
-    pub(crate) fn note_rate(&self, call: &CallContext, progress: &CallProgress) {
+    pub(crate) fn record_request(&self, call: &CallContext, progress: &CallProgress) {
         if progress.arrivals + progress.unreached > 0 {
             return;
         }
@@ -202,7 +202,7 @@
         };
         let now = self.now();
         let mut fleet = self.fleet.borrow_mut();
-        fleet.note_rate(now, &call.needs.service, kind);
+        fleet.record_request(now, &call.needs.service, kind);
     }
 
     /// Whether a request may leave the region.
@@ -354,7 +354,7 @@
         prefix_home: None,
         trips,
         work: fleet.work_of(needs, 0),
-        work_at_home: fleet.work_of(needs, needs.prompt.shared_tokens()),
+        work_with_prefix: fleet.work_of(needs, needs.prompt.shared_tokens()),
         excluded: &[],
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -150,7 +150,7 @@
         let mut fleet = FleetView::new(place.clone());
         fleet.set_unix_start(unix_start);
         fleet.set_switches(settings.switches.clone());
-        fleet.set_reread_price(settings.costs.reread_price);
+        fleet.set_reprefill_penalty(settings.costs.reprefill_penalty);
         let mut quotas = QuotaTable::default();
         quotas.set_settings(settings.quotas);
         Self {
@@ -209,7 +209,7 @@
     pub(crate) fn set_settings(&self, settings: GatewaySettings) {
         let mut fleet = self.fleet.borrow_mut();
         fleet.set_switches(settings.switches.clone());
-        fleet.set_reread_price(settings.costs.reread_price);
+        fleet.set_reprefill_penalty(settings.costs.reprefill_penalty);
         self.quotas.borrow_mut().set_settings(settings.quotas);
         self.overlay.borrow_mut().set_seeds(settings.seeds.clone());
         *self.settings.borrow_mut() = Rc::new(settings);
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -166,7 +166,7 @@
                 log::info!(center = center.as_str(); "data centre is taken back");
                 let (now, table) = (self.now(), self.table());
                 let mut fleet = self.fleet.borrow_mut();
-                fleet.take_back(now, &center, table.as_deref());
+                fleet.end_evacuation(now, &center, table.as_deref());
             }
             // A configuration is never withdrawn; the last one stays in force.
             StoreKey::Config | StoreKey::Other => {}
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -128,7 +128,7 @@
         let state = fleet.server(server);
         let mut rollouts = self.rollouts.borrow_mut();
         let service = &state.record.service;
-        rollouts.note(service, &call.route, side, state.life_hash(), outcome);
+        rollouts.note(service, &call.route, side, state.instance_hash(), outcome);
     }
 
     /// Counts of this VM, as work that is told to the others.
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -197,7 +197,7 @@
             RouteStep::Later(pause) => tokio::time::sleep(pause).await,
             RouteStep::Refuse(error) => return Err(error),
             RouteStep::Server(target) => {
-                gateway.note_rate(call, progress);
+                gateway.record_request(call, progress);
                 progress.servers.push(target.id);
                 progress.sent = call.age();
                 progress.predicted = target.predicted;
@@ -206,7 +206,7 @@
                 return Ok(try_server(gateway, call, &target, extra).await);
             }
             RouteStep::Peer(target) => {
-                gateway.note_rate(call, progress);
+                gateway.record_request(call, progress);
                 progress.vms.push(target.vm.clone());
                 progress.sent = call.age();
                 progress.predicted = target.predicted;
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -120,7 +120,7 @@
         let fleet = self.fleet.borrow();
         for life in lost {
             let server = fleet.find_life(life.number());
-            let sign = server.and_then(|id| fleet.server(id).last_sign());
+            let sign = server.and_then(|id| fleet.server(id).last_liveness());
             if let Some(sign) = sign {
                 board.table.note_alive(life, sign);
             }
@@ -130,7 +130,7 @@
 
     fn life_of(&self, server: ServerId) -> LifeTag {
         let fleet = self.fleet.borrow();
-        LifeTag::from_number(fleet.server(server).life_hash())
+        LifeTag::from_number(fleet.server(server).instance_hash())
     }
 
     /// What may be done with a request.
@@ -194,7 +194,7 @@
         let option = fleet.choose_alone(now, &call.needs, &progress.servers);
         match option {
             LocalOption::Free(choice) => RouteStep::Server(server_target(&fleet, &choice)),
-            LocalOption::Held(end) => self.wait_for_rest(call, end - now),
+            LocalOption::BackedOff(end) => self.wait_for_rest(call, end - now),
             _ => self.wait_or_refuse(call, "no server is usable", call.needs.goal / 2),
         }
     }
--- a/crates/gateway/src/updates.rs
+++ b/crates/gateway/src/updates.rs
@@ -157,8 +157,8 @@
             return;
         }
         let rate = flow as f64 / 1e3;
-        let is_service = self.fleet.borrow_mut().set_told_rate(tag.0, rate);
-        if !is_service && !self.away.borrow_mut().set_told_rate(now, tag.0, rate) {
+        let is_service = self.fleet.borrow_mut().set_peer_rate(tag.0, rate);
+        if !is_service && !self.away.borrow_mut().set_peer_rate(now, tag.0, rate) {
             log::debug!("work told of an unknown server {}", tag.0);
         }
     }
@@ -286,7 +286,7 @@
                 .map(|id| {
                     (
                         fleet.predict(now, id, &usual),
-                        fleet.predict_pace(now, id, &usual),
+                        fleet.predict_event_interval(now, id, &usual),
                     )
                 })
                 .collect();
