--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -64,7 +64,7 @@
 };
 pub use server::{AttemptResult, ServerState};
 pub use signs::ServerVotes;
-pub use switches::{ChoicePolicy, DecisionSwitch, DecisionSwitches, QuotaWay, UnknownName};
+pub use switches::{ChoicePolicy, DecisionSwitch, DecisionSwitches, QuotaMode, UnknownName};
 pub use team::{KeyDigest, QuotaLimit, QuotaUnit, TeamRule, TeamTable};
 pub use view::{FleetView, REPREFILL_PENALTY, VmLocation};
 pub use word::{BackoffSignal, ServerSignals, SignalChanges};
--- a/crates/fleet/src/quota/mod.rs
+++ b/crates/fleet/src/quota/mod.rs
@@ -22,7 +22,7 @@
 use onyxfall_types::RegionName;
 use rand::Rng;
 
-use crate::switches::QuotaWay;
+use crate::switches::QuotaMode;
 use crate::team::QuotaLimit;
 use side::{QuotaSide, SideBucket, SideState};
 use usage::{FarDemand, TeamUsage};
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaSettings {
     /// How limits are divided.
-    pub way: QuotaWay,
+    pub way: QuotaMode,
     /// Length of the window.
     pub window: Duration,
     /// Part of the limit that may be used beside it.
@@ -56,7 +56,7 @@
     /// Nothing beside the limit.
     fn default() -> Self {
         Self {
-            way: QuotaWay::Pooled,
+            way: QuotaMode::Pooled,
             window: Duration::from_secs(8),
             over: 0.0,
             slack: 0.0,
@@ -73,7 +73,7 @@
 
     /// Where a bucket is taken to stand of which nothing is known.
     fn start_level(&self, limit: &QuotaLimit) -> f64 {
-        if self.way == QuotaWay::EqualParts {
+        if self.way == QuotaMode::EqualParts {
             return 0.0;
         }
         let side = QuotaSide::alone(limit, 1, 0.0);
--- a/crates/fleet/src/quota/usage.rs
+++ b/crates/fleet/src/quota/usage.rs
@@ -9,7 +9,7 @@
 use super::side::{QuotaSide, SideState};
 use super::{QuotaPeers, QuotaSettings};
 use crate::flow::FlowMeter;
-use crate::switches::QuotaWay;
+use crate::switches::QuotaMode;
 use crate::team::QuotaLimit;
 
 /// Time in which what a team asks for fades to a third. It adds to the time in which a
@@ -148,8 +148,8 @@
         self.assumed = (self.assumed - drained).clamp(0.0, self.level);
         self.at = now;
         let side = match settings.way {
-            QuotaWay::Pooled => self.side(now, peers),
-            QuotaWay::EqualParts => {
+            QuotaMode::Pooled => self.side(now, peers),
+            QuotaMode::EqualParts => {
                 QuotaSide::alone(&self.limit, peers.vms, self.own.per_second(now))
             }
         };
