--- a/crates/fleet/src/choose.rs
+++ b/crates/fleet/src/choose.rs
@@ -247,7 +247,7 @@
         let index = match self.switches().policy() {
             ChoicePolicy::Expected | ChoicePolicy::LocalOnly => return None,
             ChoicePolicy::Random => rng.random_range(0..pool.len().max(1)),
-            ChoicePolicy::RoundRobin => self.next_turn() % pool.len().max(1),
+            ChoicePolicy::RoundRobin => self.next_round_robin() % pool.len().max(1),
         };
         let server = *pool.get(index)?;
         Some(ServerChoice {
@@ -294,7 +294,7 @@
         let name = &self.server(id).record.name;
         let is_sender =
             self.is_alone() || is_cold_sender(name, &self.place().vm, self.region_vms());
-        is_sender && self.server_mut(id).cold_share().has_one(now)
+        is_sender && self.server_mut(id).cold_share().is_available(now)
     }
 
     /// The first `count` servers in rendezvous order for the request's shared prefix.
--- a/crates/fleet/src/cold.rs
+++ b/crates/fleet/src/cold.rs
@@ -34,7 +34,7 @@
     }
 
     /// Whether a request is available now.
-    pub fn has_one(&mut self, now: Moment) -> bool {
+    pub fn is_available(&mut self, now: Moment) -> bool {
         self.bucket.wait(now, 1.0).is_zero()
     }
 }
--- a/crates/fleet/src/predict.rs
+++ b/crates/fleet/src/predict.rs
@@ -93,11 +93,11 @@
         needs: &CallRequirements,
     ) -> Duration {
         let server = self.server(id);
-        let pace = match server.load(now, needs) {
+        let interval = match server.load(now, needs) {
             ServerLoad::Engine(load) => self.costs(&needs.service).pace_ms(&load, DEFAULT_GAPS),
             ServerLoad::Plain(_) => None,
         };
-        millis(pace.unwrap_or(0.0) * server.interval_slowness())
+        millis(interval.unwrap_or(0.0) * server.interval_slowness())
     }
 
     /// Work that a request adds to the servers of its service if `cached` tokens of its
@@ -185,8 +185,8 @@
         }
         let service = self.server(id).record.service.clone();
         let predicted = self.costs(&service).pace_ms(load, gaps);
-        let pace = took.div_f64(gaps);
-        let ratio = predicted.map(|ms| pace.as_secs_f64() * 1e3 / ms.max(f64::MIN_POSITIVE));
+        let interval = took.div_f64(gaps);
+        let ratio = predicted.map(|ms| interval.as_secs_f64() * 1e3 / ms.max(f64::MIN_POSITIVE));
         if let Some(ratio) = ratio {
             self.server_mut(id).record_event_interval(ratio);
         }
@@ -211,11 +211,11 @@
         &mut self,
         now: Moment,
         vm: &VmName,
-        teller: CostSource,
+        source: CostSource,
         service: &ServiceName,
         report: CostReport,
     ) -> bool {
-        self.learns_costs() && self.costs_mut(service).hear(now, vm, teller, report)
+        self.learns_costs() && self.costs_mut(service).hear(now, vm, source, report)
     }
 
     fn learns_costs(&self) -> bool {
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -99,7 +99,7 @@
     /// Another instance has taken the name; the requests running here have ended.
     is_replaced: bool,
     /// When a response first signalled that the server is draining.
-    leaving_since: Option<Moment>,
+    draining_since: Option<Moment>,
     backoff: ServerBackoff,
     /// When a backoff was last requested.
     backoff_requested_at: Option<Moment>,
@@ -129,7 +129,7 @@
             region,
             gone: false,
             is_replaced: false,
-            leaving_since: None,
+            draining_since: None,
             backoff: ServerBackoff::default(),
             backoff_requested_at: None,
             limit: ServerLimit::default(),
@@ -205,7 +205,7 @@
 
     /// Whether the entry and the responses of the server allow new requests.
     pub fn takes_work(&self) -> bool {
-        !self.gone && self.leaving_since.is_none() && self.record.phase == ServerPhase::Ready
+        !self.gone && self.draining_since.is_none() && self.record.phase == ServerPhase::Ready
     }
 
     /// Whether the circuit breaker and the requested backoff allow an attempt.
@@ -215,14 +215,14 @@
 
     /// Records that the server is draining. Returns whether this was unknown.
     pub(crate) fn record_draining(&mut self, now: Moment) -> bool {
-        let is_new = self.leaving_since.is_none();
-        self.leaving_since.get_or_insert(now);
+        let is_new = self.draining_since.is_none();
+        self.draining_since.get_or_insert(now);
         is_new
     }
 
     /// When a response first signalled that the server is draining, if any did.
     pub(crate) fn leaving_since(&self) -> Option<Moment> {
-        self.leaving_since
+        self.draining_since
     }
 
     /// Records a backoff of `time` requested by the server. Returns whether this
@@ -279,7 +279,7 @@
     /// Copies the signals of the same instance from before its entry had expired.
     pub(crate) fn inherit_signals(&mut self, before: &Self) {
         self.record = self.record.clone().with_phase_after(before.record.phase);
-        self.leaving_since = before.leaving_since;
+        self.draining_since = before.draining_since;
         self.backoff = before.backoff;
         self.backoff_requested_at = before.backoff_requested_at;
         self.limit = before.limit;
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -33,13 +33,13 @@
 /// again, if the settings give none. It also ties short shared parts to their server:
 /// on a day with a power loss 15.1 M tokens of shared parts were prefilled again
 /// without it and 11.2 M with it, at a value of 0.692 and 0.708; on three days with a
-/// load peak the value was 0.589 and 0.592.
+/// load peak the value was 0.589 without it and 0.592 with it.
 pub const REPREFILL_PENALTY: Duration = Duration::from_millis(200);
 /// Number of requests per slot of a plain service's server up to which it gets more, in
 /// addition to those that have ended since they were reported. With 2 and no addition,
 /// a hundred VMs treated a busy server as full until the next report and all sent to
-/// the other one: 21 of 100 requests took three times their own time, compared with 3
-/// now (test `herd`).
+/// the other one: 21 of 100 requests took three times their own time. With these values
+/// 3 do (test `herd`).
 const MAX_REQUESTS_PER_SLOT: f64 = 3.0;
 /// Decay time of the rate of drawn requests. One of hundreds of VMs sends a service two
 /// to five requests per second.
@@ -100,7 +100,7 @@
     /// Costs of a service without samples.
     prior: ServiceCosts,
     /// Number of round-robin choices so far.
-    turn: usize,
+    round_robin: usize,
     /// Age of other VMs' work when it is received.
     knowledge_age: Duration,
     /// Rate of the requests whose server was chosen by load, by service.
@@ -136,7 +136,7 @@
             costs: BTreeMap::new(),
             crashes: CrashTable::new(),
             prior: ServiceCosts::default(),
-            turn: 0,
+            round_robin: 0,
             knowledge_age: Duration::ZERO,
             drawn_rates: BTreeMap::new(),
             rates: RateTable::new(),
@@ -264,9 +264,9 @@
     }
 
     /// Returns the next number of the round-robin counter.
-    pub(crate) fn next_turn(&mut self) -> usize {
-        self.turn = self.turn.wrapping_add(1);
-        self.turn
+    pub(crate) fn next_round_robin(&mut self) -> usize {
+        self.round_robin = self.round_robin.wrapping_add(1);
+        self.round_robin
     }
 
     /// State of a server.
