--- a/crates/fleet/src/kept.rs
+++ b/crates/fleet/src/kept.rs
@@ -47,7 +47,7 @@
     }
 
     /// Sets how many tokens a second flow in from other VMs from now on.
-    pub(crate) fn set_told_flow(&mut self, now: Moment, flow: u64) {
+    pub(crate) fn set_remote_flow(&mut self, now: Moment, flow: u64) {
         self.inflow = self.inflow(now);
         self.at = now;
         self.told_flow = flow;
--- a/crates/fleet/src/quota/usage.rs
+++ b/crates/fleet/src/quota/usage.rs
@@ -104,7 +104,7 @@
         if hears_regions {
             self.note_part(now, near, far);
         }
-        if hears_regions && peers.heard_part >= MAJORITY {
+        if hears_regions && peers.reachable_share >= MAJORITY {
             return QuotaSide {
                 rate: limit.rate,
                 part: 1.0,
@@ -115,8 +115,8 @@
         // What was usual may have moved: half of it, and half of an equal part.
         let equal = 1.0 / peers.regions.max(1) as f64;
         let region = f64::midpoint(self.usual_part, equal);
-        let heard = if peers.heard_part < MAJORITY {
-            peers.heard_part
+        let heard = if peers.reachable_share < MAJORITY {
+            peers.reachable_share
         } else {
             1.0
         };
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -14,7 +14,7 @@
 use crate::limit::ServerLimit;
 use crate::record::{ServerPhase, ServerRecord};
 use crate::signs::{ServerVotes, SignRecord};
-use crate::word::{DOUBTFUL_LEAVING, DoubtfulWords};
+use crate::word::{AMBIGUOUS_DRAINING, DoubtfulWords};
 use crate::work::{UnreadTokens, WorkShare};
 
 /// Time in which what came to a server fades to a third: long enough for a steady
@@ -253,7 +253,7 @@
     /// Counts what a former life seems to have said.
     pub(crate) fn take_doubtful(&mut self, now: Moment, words: &DoubtfulWords) {
         if words.leaves {
-            self.rest.ask(now, DOUBTFUL_LEAVING);
+            self.rest.ask(now, AMBIGUOUS_DRAINING);
         }
         if let Some(rest) = words.rest {
             self.rest.join(rest);
@@ -309,19 +309,19 @@
     }
 
     /// The last sign of life that this VM has had of it.
-    pub fn last_sign(&self) -> Option<Moment> {
-        self.signs.last_sign()
+    pub fn last_liveness(&self) -> Option<Moment> {
+        self.signs.last_liveness()
     }
 
     /// Notes a sign of life.
-    pub fn note_sign(&mut self, now: Moment) {
-        self.signs.note_sign(now);
+    pub fn record_liveness(&mut self, now: Moment) {
+        self.signs.record_liveness(now);
     }
 
     /// Sets what all other VMs have under way there.
     pub fn set_others(&mut self, now: Moment, work: WorkShare) {
         self.others = work;
-        self.kept.set_told_flow(now, work.flow);
+        self.kept.set_remote_flow(now, work.flow);
     }
 
     /// All work under way there, as far as known.
@@ -460,7 +460,7 @@
         }
         open.answered = Some(now);
         self.rest.note_taken(id);
-        self.signs.note_sign(now);
+        self.signs.record_liveness(now);
         let read = WorkShare {
             unread: open.work.unread,
             ..WorkShare::default()
@@ -497,19 +497,19 @@
         self.rest.note_end(id);
         match result {
             AttemptResult::Succeeded => {
-                self.signs.note_sign(now);
+                self.signs.record_liveness(now);
                 self.circuit.succeed();
             }
             AttemptResult::Failed => {
                 self.circuit.fail(now);
             }
             AttemptResult::Unreachable | AttemptResult::Broken => {
-                self.signs.note_break(now);
+                self.signs.record_disconnect(now);
                 self.circuit.fail(now);
                 self.circuit.trip(now);
             }
             AttemptResult::Shed => {
-                self.signs.note_sign(now);
+                self.signs.record_liveness(now);
                 self.circuit.forget();
                 self.full_until = now + FULL_PAUSE;
             }
--- a/crates/fleet/src/word.rs
+++ b/crates/fleet/src/word.rs
@@ -27,7 +27,7 @@
 const BIRTH_DOUBT: Duration = Duration::from_secs(1);
 /// Time for which a life gets nothing that may have said that it leaves: leaving servers
 /// were seen to serve on for 12 s. After it one request tries.
-pub(crate) const DOUBTFUL_LEAVING: Duration = Duration::from_secs(20);
+pub(crate) const AMBIGUOUS_DRAINING: Duration = Duration::from_secs(20);
 
 /// Words that may be those of another life than the one that they were noted for.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/fleet/tests/quota.rs
+++ b/crates/fleet/tests/quota.rs
@@ -127,9 +127,9 @@
         table
     }
 
-    fn peers(&self, case: &QuotaCase, heard_part: f64) -> QuotaPeers {
+    fn peers(&self, case: &QuotaCase, reachable_share: f64) -> QuotaPeers {
         QuotaPeers {
-            heard_part,
+            reachable_share,
             vms: case.vms,
             regions: self.regions.len(),
         }
@@ -163,7 +163,7 @@
             for vm in 0..case.vms {
                 let others = sums[self.region_of(vm)] - near[vm];
                 self.tables[vm].set_peers(peers);
-                self.tables[vm].set_near(now, TEAM, if alone { 0.0 } else { others });
+                self.tables[vm].set_peer_demand(now, TEAM, if alone { 0.0 } else { others });
             }
         }
         if !step.is_multiple_of(FAR_EVERY) || self.told.len() <= FAR_LAG || alone || apart {
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -212,7 +212,7 @@
         if let RelayState::Open(answer) = &mut self.state {
             answer.events += events;
             if let Some(booking) = &answer.booking {
-                booking.note_sign();
+                booking.record_liveness();
             }
         }
         match &mut self.buffer {
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -120,7 +120,7 @@
         let fleet = self.fleet.borrow();
         for life in lost {
             let server = fleet.find_life(life.number());
-            let sign = server.and_then(|id| fleet.server(id).last_sign());
+            let sign = server.and_then(|id| fleet.server(id).last_liveness());
             if let Some(sign) = sign {
                 board.table.note_alive(life, sign);
             }
--- a/crates/gateway/src/updates.rs
+++ b/crates/gateway/src/updates.rs
@@ -153,7 +153,11 @@
 
     /// Sets other VMs' rate with a short name: a team's demand, or thousandths of a rate.
     fn apply_rate(&self, now: Moment, tag: ServerTag, flow: u64) {
-        if self.quotas.borrow_mut().set_near(now, tag.0, flow as f64) {
+        if self
+            .quotas
+            .borrow_mut()
+            .set_peer_demand(now, tag.0, flow as f64)
+        {
             return;
         }
         let rate = flow as f64 / 1e3;
@@ -222,7 +226,7 @@
                         .iter()
                         .map(|(tag, load)| load_entry(*tag, load))
                         .collect(),
-                    teams: demand_entries(self.quotas.borrow().told_by(region)),
+                    teams: demand_entries(self.quotas.borrow().demand_of(region)),
                     evidence: self.far_evidence(region),
                 })
                 .collect(),
