--- a/crates/fleet/src/learn/mod.rs
+++ b/crates/fleet/src/learn/mod.rs
@@ -4,16 +4,16 @@
 //! known of a service at first; a prior stands in until tens of answers have
 //! come, and what other VMs have learned counts by the number of their answers.
 
-mod answer;
 mod engine;
 mod linear;
 mod plain;
+mod response;
 mod service;
 mod trip;
 
-pub use answer::ResponseLengths;
 pub use engine::{EngineCosts, EngineLoad};
 pub use linear::LinearFit;
 pub use plain::PlainCosts;
+pub use response::ResponseLengths;
 pub use service::{CostReport, CostSource, CostView, ServiceCosts};
 pub use trip::RoundTrips;
--- a/crates/fleet/src/quota/mod.rs
+++ b/crates/fleet/src/quota/mod.rs
@@ -12,7 +12,7 @@
 //! Invariant: regions that do not hear each other use parts of the limit that are together
 //! no more than the whole, and so do VMs that hear less than half of their region.
 
-mod side;
+mod partition;
 mod usage;
 
 use std::collections::HashMap;
@@ -24,7 +24,7 @@
 
 use crate::switches::QuotaWay;
 use crate::team::QuotaLimit;
-use side::{QuotaSide, SideBucket, SideState};
+use partition::{QuotaSide, SideBucket, SideState};
 use usage::{FarDemand, TeamUsage};
 
 /// Age at which a region's last word on a team is forgotten: it asks for nothing.
--- a/crates/fleet/src/quota/usage.rs
+++ b/crates/fleet/src/quota/usage.rs
@@ -6,7 +6,7 @@
 use onyxfall_policy::Moment;
 use onyxfall_types::RegionName;
 
-use super::side::{QuotaSide, SideState};
+use super::partition::{QuotaSide, SideState};
 use super::{QuotaPeers, QuotaSettings};
 use crate::flow::FlowMeter;
 use crate::switches::QuotaWay;
--- a/crates/fleet/src/word.rs
+++ b/crates/fleet/src/signals.rs
@@ -17,7 +17,7 @@
 use onyxfall_policy::{Moment, ServerBackoff};
 use onyxfall_types::ServerId;
 
-use crate::life::StartTime;
+use crate::instance::StartTime;
 use crate::limit::LimitSignal;
 use crate::view::FleetView;
 
--- a/crates/fleet/src/work.rs
+++ b/crates/fleet/src/work.rs
@@ -1,7 +1,7 @@
 //! What VMs have under way at a server, as they tell each other.
 
 use crate::limit::LimitReports;
-use crate::signs::ServerVotes;
+use crate::liveness::ServerVotes;
 
 /// Urgencies that a request can have; 0 goes first.
 pub const URGENCIES: usize = 10;
