--- a/crates/fleet/src/cached_prefixes.rs
+++ b/crates/fleet/src/cached_prefixes.rs
@@ -1,8 +1,9 @@
-//! The prefixes that a server's memory keeps, as far as this VM can tell.
+//! Estimate of the prefixes that a server has in its KV cache.
 //!
-//! A server drops what is unused longest when its memory is full. So a prefix counts
-//! as kept until as many tokens have flowed into the memory since its last use as
-//! running requests leave. Tokens of other VMs' requests count by what they tell.
+//! A server evicts the least recently used prefix when its memory is full. So a prefix
+//! counts as cached until the tokens added to the memory since its last use exceed the
+//! memory that running requests leave free. Tokens of other VMs' requests count by the
+//! rates that these VMs report.
 
 use std::collections::HashMap;
 
@@ -10,86 +11,88 @@
 
 use crate::call::PromptSize;
 
-/// Prefixes remembered for one server.
-const PREFIX_LIMIT: usize = 2048;
-/// Part of a server's memory that is left to kept prefixes at least.
-const LEAST_KEPT_PART: f64 = 0.1;
+/// Most prefixes that are tracked for one server.
+const MAX_PREFIXES: usize = 2048;
+/// Least part of a server's memory that is available to cached prefixes.
+const MIN_CACHE_PART: f64 = 0.1;
 
-/// The prefixes kept by one server.
+/// Prefixes in the cache of one server.
 #[derive(Clone, Debug)]
 pub(crate) struct CachedPrefixes {
-    /// What had flowed into the memory when each prefix was last used.
+    /// Value of `inflow` at the last use of each prefix.
     used: HashMap<u64, f64>,
-    /// Tokens that have flowed into the memory until `at`.
+    /// Tokens that were added to the memory until `at`.
     inflow: f64,
     at: Moment,
-    /// Tokens a second that flow in from other VMs since then.
-    told_flow: u64,
-    /// Tokens that the memory holds; 0 until a request says so.
+    /// Tokens a second that requests of other VMs add since `at`.
+    remote_flow: u64,
+    /// Capacity of the memory in tokens; 0 until a request sets it.
     capacity: u64,
 }
 
 impl CachedPrefixes {
-    /// Nothing is kept yet.
+    /// Creates an empty estimate.
     pub(crate) fn new(now: Moment) -> Self {
         Self {
             used: HashMap::new(),
             inflow: 0.0,
             at: now,
-            told_flow: 0,
+            remote_flow: 0,
             capacity: 0,
         }
     }
 
-    /// Sets how many tokens the memory holds.
+    /// Sets the capacity of the memory in tokens.
     pub(crate) fn set_capacity(&mut self, tokens: u64) {
         self.capacity = tokens;
     }
 
-    /// Sets how many tokens a second flow in from other VMs from now on.
+    /// Sets the tokens a second that requests of other VMs add from now on.
     pub(crate) fn set_remote_flow(&mut self, now: Moment, flow: u64) {
         self.inflow = self.inflow(now);
         self.at = now;
-        self.told_flow = flow;
+        self.remote_flow = flow;
     }
 
-    /// Notes that a request of this VM brings tokens.
+    /// Records that a request of this VM adds `tokens` to the memory.
     pub(crate) fn bring(&mut self, tokens: u64) {
         self.inflow += tokens as f64;
     }
 
-    /// Notes that every prefix of a prompt is used; `running` tokens are taken by
-    /// requests under way.
+    /// Records a use of every prefix of `prompt`. Requests in progress occupy `running`
+    /// tokens.
     pub(crate) fn touch(&mut self, now: Moment, prompt: &PromptSize, running: u64) {
         let inflow = self.inflow(now);
-        if self.used.len() >= PREFIX_LIMIT {
-            let gone = inflow - self.room(running);
-            self.used.retain(|_, used| *used > gone);
+        if self.used.len() >= MAX_PREFIXES {
+            let evicted = inflow - self.room(running);
+            self.used.retain(|_, used| *used > evicted);
         }
-        if self.used.len() < PREFIX_LIMIT {
+        if self.used.len() < MAX_PREFIXES {
             let prefixes = prompt.prefixes();
             self.used.extend(prefixes.map(|(key, _)| (key, inflow)));
         }
     }
 
-    /// Tokens of the longest prefix of a prompt that is kept.
+    /// Tokens of the longest cached prefix of `prompt`. Requests in progress occupy `running`
+    /// tokens.
     pub(crate) fn tokens_of(&self, now: Moment, prompt: &PromptSize, running: u64) -> u64 {
-        let gone = self.inflow(now) - self.room(running);
+        let evicted = self.inflow(now) - self.room(running);
         prompt
             .prefixes()
-            .take_while(|(key, _)| self.used.get(key).is_some_and(|used| *used > gone))
+            .take_while(|(key, _)| self.used.get(key).is_some_and(|used| *used > evicted))
             .map(|(_, tokens)| tokens)
             .last()
             .unwrap_or(0)
     }
 
-    /// Tokens that may flow in until a prefix that is not used again has to give way.
+    /// Tokens that may be added until a prefix that is not used again is evicted.
     fn room(&self, running: u64) -> f64 {
         let total = self.capacity as f64;
-        (total - running as f64).max(LEAST_KEPT_PART * total)
+        (total - running as f64).max(MIN_CACHE_PART * total)
     }
 
+    /// Tokens that were added to the memory until `now`.
     fn inflow(&self, now: Moment) -> f64 {
-        self.inflow + self.told_flow as f64 * (now - self.at).as_secs_f64()
+        self.inflow + self.remote_flow as f64 * (now - self.at).as_secs_f64()
     }
 }
--- a/crates/fleet/src/learn/mod.rs
+++ b/crates/fleet/src/learn/mod.rs
@@ -1,8 +1,8 @@
-//! What servers and links cost, learned from answers.
+//! Cost models of servers and connections, learned from responses.
 //!
-//! Pure: observations go in, estimates come out, without a clock. Nothing is
-//! known of a service at first; a prior stands in until tens of answers have
-//! come, and what other VMs have learned counts by the number of their answers.
+//! Pure code without I/O and clock: observations go in, estimates come out. A service starts
+//! with a prior, which dominates until tens of responses were observed. Estimates of other
+//! VMs are weighted by the number of responses behind them.
 
 mod engine;
 mod linear;
--- a/crates/fleet/src/signals.rs
+++ b/crates/fleet/src/signals.rs
@@ -1,16 +1,18 @@
-//! What a server says of itself in its answers, and what this VM believes by it.
+//! Signals that a server sends about itself in response headers, and the state that this
+//! VM derives from them.
 //!
-//! Leaving belongs to a life and never ends within it: whatever the store or another VM
-//! says of that life later is older knowledge. Requests reached a server for 11 s after
-//! its answers had said that it leaves while only its entry counted, which the store did
-//! not take for as long. Both beliefs hold for this VM only: each VM learns of a leaving by
-//! its own first answer, and rest that is asked of one VM is not asked of others.
+//! Draining is a property of a server instance and never ends within it: whatever the store
+//! or another VM reports about that instance later is older information. The store entry
+//! alone is not enough: the store can be 11 s late in accepting it, and requests reached a
+//! draining server for that long. Both signals hold for this VM only: each VM learns of
+//! draining from its own first response, and backoff that is asked of one VM does not apply
+//! to the others.
 //!
-//! A server that starts again under its name may answer before its entry is known here,
-//! and its word is then noted for its former life. Once the entry is known its birth tells:
-//! a word that was read after it may be the later life's, which gets no work for a while.
-//! Without that, a VM whose link to the store was held sent a reborn server work 0.4 s
-//! after it had said that it leaves.
+//! A server that restarts under its name may respond before its new entry is known here, so
+//! its signals are recorded for the former instance. Once the entry is known, its start time
+//! resolves this: signals that were read after it may belong to the later instance, which
+//! then gets no work for a while. Without this, a VM whose connection to the store was
+//! delayed sent work to a restarted server 0.4 s after that server had signalled draining.
 
 use std::time::Duration;
 
@@ -21,57 +23,57 @@
 use crate::limit::LimitSignal;
 use crate::view::FleetView;
 
-/// How much later than a word a birth must be for the word to be the former life's: clocks
-/// of servers and VMs may differ. A server that leaves serves on for three seconds at least
-/// before it can be born again.
-const BIRTH_DOUBT: Duration = Duration::from_secs(1);
-/// Time for which a life gets nothing that may have said that it leaves: leaving servers
-/// were seen to serve on for 12 s. After it one request tries.
+/// Least time by which a start time must be later than a signal for the signal to be
+/// attributed to the former instance, since clocks of servers and VMs may differ. A draining
+/// server keeps serving for at least 3 s before it can restart.
+const CLOCK_TOLERANCE: Duration = Duration::from_secs(1);
+/// Backoff of an instance that may have signalled draining: draining servers were seen to
+/// keep serving for 12 s. After it, one request probes the server.
 pub(crate) const AMBIGUOUS_DRAINING: Duration = Duration::from_secs(20);
 
-/// Words that may be those of another life than the one that they were noted for.
+/// Signals recorded for a former instance that may belong to the current one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AmbiguousSignals {
-    /// It leaves.
+    /// Whether the server may be draining.
     pub(crate) leaves: bool,
-    /// It wants rest.
+    /// The backoff that the server may have asked for.
     pub(crate) rest: Option<ServerBackoff>,
 }
 
-/// Whether a server that turned a request away asks to be left alone for a while.
+/// Backoff request in the response of a server that rejected a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BackoffSignal {
-    /// It names no time.
+    /// No backoff is requested.
     #[default]
     None,
-    /// It wants nothing from this VM for so long.
+    /// This VM must send no requests for this long.
     For(Duration),
-    /// It names a time that cannot be understood.
+    /// The duration cannot be parsed.
     Malformed,
 }
 
-/// What the head of an answer says of the server that gave it.
+/// Signals of a server, read from the headers of one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerSignals {
-    /// It leaves.
+    /// Whether the server is draining.
     pub is_leaving: bool,
-    /// The rest that it wants.
+    /// The backoff that the server asks for.
     pub rest: BackoffSignal,
-    /// The rate that it takes.
+    /// The request rate that the server accepts.
     pub limit: LimitSignal,
 }
 
-/// What a word has changed of what this VM believes.
+/// Changes of this VM's state of a server that signals have caused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SignalChanges {
-    /// The server is now known to leave.
+    /// The server is newly known to be draining.
     pub leaves: bool,
-    /// It now rests, or for longer than before.
+    /// Backoff has started or has been extended.
     pub rests: bool,
 }
 
 impl FleetView {
-    /// Takes the word of a life of a server on itself.
+    /// Applies the signals of a server instance.
     ///
     /// ```
     /// use onyxfall_fleet::{FleetView, ServerSignals, VmLocation, SignalChanges};
@@ -98,21 +100,21 @@
     /// # };
     /// # fleet.put_server(Moment::ZERO, record, None);
     /// let server = fleet.find("s1").unwrap();
-    /// let word = ServerSignals { is_leaving: true, ..ServerSignals::default() };
-    /// assert!(fleet.apply_signals(Moment::ZERO, server, &word).leaves);
+    /// let signals = ServerSignals { is_leaving: true, ..ServerSignals::default() };
+    /// assert!(fleet.apply_signals(Moment::ZERO, server, &signals).leaves);
     /// assert!(!fleet.server(server).takes_work());
-    /// assert_eq!(fleet.apply_signals(Moment::ZERO, server, &word), SignalChanges::default());
+    /// assert_eq!(fleet.apply_signals(Moment::ZERO, server, &signals), SignalChanges::default());
     /// ```
     pub fn apply_signals(
         &mut self,
         now: Moment,
         id: ServerId,
-        word: &ServerSignals,
+        signals: &ServerSignals,
     ) -> SignalChanges {
         let id = self.same_instance(id);
         let server = self.server_mut(id);
-        let leaves = word.is_leaving && server.record_draining(now);
-        let rests = match word.rest {
+        let leaves = signals.is_leaving && server.record_draining(now);
+        let rests = match signals.rest {
             BackoffSignal::For(time) => server.record_backoff(now, time),
             BackoffSignal::None | BackoffSignal::Malformed => false,
         };
@@ -120,50 +122,50 @@
         SignalChanges { leaves, rests }
     }
 
-    /// Lets the later life of a server that has started again count a word that was noted
-    /// for the former one only now.
+    /// Applies signals recorded for a former instance to the later one, if they may be its.
     fn mark_later_instance_ambiguous(&mut self, now: Moment, former: ServerId) {
         let name = &self.server(former).record.name;
         let Some(later) = self.find(name.as_str()).filter(|id| *id != former) else {
             return;
         };
-        let words = self.ambiguous_signals(former, self.server(later).record.born);
-        self.server_mut(later).apply_ambiguous(now, &words);
+        let signals = self.ambiguous_signals(former, self.server(later).record.born);
+        self.server_mut(later).apply_ambiguous(now, &signals);
     }
 
-    /// What a former life seems to have said, but may have been said by the one that was
-    /// born at `born`.
+    /// Signals recorded for a former instance that may be those of the instance that started
+    /// at `born`.
     pub(crate) fn ambiguous_signals(&self, former: ServerId, born: StartTime) -> AmbiguousSignals {
         let born = self.moment_of(born);
         let former = self.server(former);
-        let is_doubtful = |told: Option<Moment>| told.is_some_and(|at| born <= at + BIRTH_DOUBT);
+        let is_ambiguous =
+            |read: Option<Moment>| read.is_some_and(|at| born <= at + CLOCK_TOLERANCE);
         AmbiguousSignals {
-            leaves: is_doubtful(former.leaving_since()),
-            rest: former.requested_backoff(is_doubtful),
+            leaves: is_ambiguous(former.leaving_since()),
+            rest: former.requested_backoff(is_ambiguous),
         }
     }
 
-    /// Whether a send to a server may begin now. A request whose server was chosen may
-    /// have waited for a connection since.
+    /// Whether an attempt at server `id` may be sent now. This is checked again just before
+    /// the send, since the request may have waited for a connection after the choice.
     pub fn may_send(&self, now: Moment, id: ServerId) -> bool {
         self.may_work(id)
             && !self.is_closed_version(id)
             && self.server(id).backoff_end(now).is_none()
     }
 
-    /// Whether what a server says of itself lets this VM send to it now.
+    /// Whether the backoff and the rate limit of server `id` let this VM send to it now.
     pub(crate) fn takes_now(&self, now: Moment, id: ServerId) -> bool {
         self.server(id).is_backoff_over(now) && self.is_within_limit(now, id)
     }
 
-    /// When the first of these servers may have work again; none if one may have it now.
+    /// The earliest time at which one of `servers` may get work; none if one may get it now.
     pub(crate) fn earliest_hold_end(&self, now: Moment, servers: &[ServerId]) -> Option<Moment> {
         if servers.iter().any(|id| self.takes_now(now, *id)) {
             return None;
         }
         let end = |id: &ServerId| {
-            let rested = self.server(*id).backoff_end(now).unwrap_or(now);
-            rested.max(now + self.limit_wait(now, *id))
+            let backoff_end = self.server(*id).backoff_end(now).unwrap_or(now);
+            backoff_end.max(now + self.limit_wait(now, *id))
         };
         servers.iter().map(end).min()
     }
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -189,21 +189,19 @@
     ];
     for case in &cases {
         let mut view = view_of(0, &[1]);
-        let server = server_of(&view);
+        let id = server_of(&view);
         for step in &case.steps {
             match *step {
-                Answer(sent, read, word) => {
-                    view.apply_limit(at(read), server, word, Some(at(sent)))
-                }
-                Stray(read, word) => view.apply_limit(at(read), server, word, None),
+                Answer(sent, read, word) => view.apply_limit(at(read), id, word, Some(at(sent))),
+                Stray(read, word) => view.apply_limit(at(read), id, word, None),
                 Told(ms, vms, thousandths) => {
-                    view.server_mut(server)
+                    view.server_mut(id)
                         .set_others(at(ms), told(vms, thousandths));
                 }
             }
         }
         for (ms, expected) in &case.limits {
-            let limit = view.server(server).limit(at(*ms));
+            let limit = view.server(id).limit(at(*ms));
             let limit = limit.map(RequestRate::per_second);
             assert_eq!(limit, *expected, "{}, at {ms} ms", case.name);
         }
