--- a/crates/fleet/src/learn/service.rs
+++ b/crates/fleet/src/learn/service.rs
@@ -241,7 +241,7 @@
 
     /// Records a report of another VM. Returns whether a figure was out of bounds and had to be
     /// clamped.
-    pub fn hear(
+    pub fn receive(
         &mut self,
         now: Moment,
         vm: &VmName,
--- a/crates/fleet/src/predict.rs
+++ b/crates/fleet/src/predict.rs
@@ -207,7 +207,7 @@
         service: &ServiceName,
         report: CostReport,
     ) -> bool {
-        self.learns() && self.costs_mut(service).hear(now, vm, teller, report)
+        self.learns() && self.costs_mut(service).receive(now, vm, teller, report)
     }
 
     fn learns(&self) -> bool {
--- a/crates/fleet/src/quota/mod.rs
+++ b/crates/fleet/src/quota/mod.rs
@@ -222,7 +222,7 @@
 
     /// Takes what another region asks for, as it said at `said`; teams that it does not
     /// name ask for nothing there.
-    pub fn hear(&mut self, said: Moment, region: &RegionName, demands: &[(u32, f64)]) {
+    pub fn receive(&mut self, said: Moment, region: &RegionName, demands: &[(u32, f64)]) {
         for usage in self.teams.values_mut() {
             if let Some(word) = usage.far.get_mut(region)
                 && word.said < said
--- a/crates/fleet/tests/learn.rs
+++ b/crates/fleet/tests/learn.rs
@@ -332,7 +332,7 @@
     };
     for case in cases {
         let mut costs = ServiceCosts::default();
-        let absurd = costs.hear(
+        let absurd = costs.receive(
             at(0),
             &"vm1".parse().unwrap(),
             CostSource::Member,
--- a/crates/fleet/tests/quota.rs
+++ b/crates/fleet/tests/quota.rs
@@ -175,7 +175,7 @@
                 if self.region_of(vm) == region {
                     continue;
                 }
-                self.tables[vm].hear(said, &self.regions[region], &[(TEAM, sum)]);
+                self.tables[vm].receive(said, &self.regions[region], &[(TEAM, sum)]);
             }
         }
     }
--- a/crates/gateway/src/updates.rs
+++ b/crates/gateway/src/updates.rs
@@ -264,7 +264,7 @@
                 .map(|entry| (entry.team, entry.demand as f64))
                 .collect();
             self.take_far_evidence(&region, &word.evidence);
-            self.quotas.borrow_mut().hear(said, &region, &demands);
+            self.quotas.borrow_mut().receive(said, &region, &demands);
             self.away
                 .borrow_mut()
                 .hear(said, &region, trip, loads.collect());
