--- a/crates/fleet/src/learn/engine.rs
+++ b/crates/fleet/src/learn/engine.rs
@@ -114,18 +114,18 @@
         self.first.weights()[1] * tokens as f64 / TOKEN_UNIT
     }
 
-    /// Learns from a first byte that arrived after `took`. Larger values of `doubt` reduce the
+    /// Learns from a first byte that arrived after `took`. Larger values of `uncertainty` reduce the
     /// weight of the observation.
-    pub fn learn_first(&mut self, load: &EngineLoad, took: Duration, doubt: f64) {
+    pub fn learn_first(&mut self, load: &EngineLoad, took: Duration, uncertainty: f64) {
         let ms = took.as_secs_f64() * 1e3;
-        self.first.learn(&load.first_input(), ms, doubt);
+        self.first.learn(&load.first_input(), ms, uncertainty);
     }
 
     /// Learns from the time `took` between the first and the last event of a response with
     /// `gaps` intervals.
-    pub fn learn_rest(&mut self, load: &EngineLoad, took: Duration, gaps: f64, doubt: f64) {
+    pub fn learn_rest(&mut self, load: &EngineLoad, took: Duration, gaps: f64, uncertainty: f64) {
         let ms = took.as_secs_f64() * 1e3 / gaps.max(1.0);
-        self.pace.learn(&load.pace_input(gaps), ms, doubt);
+        self.pace.learn(&load.pace_input(gaps), ms, uncertainty);
     }
 
     /// Creates a cost model from weights that were learned elsewhere, clamped to their bounds.
--- a/crates/fleet/src/learn/linear.rs
+++ b/crates/fleet/src/learn/linear.rs
@@ -81,15 +81,15 @@
         dot(&self.weights, input).max(0.0)
     }
 
-    /// Learns from an observation. A `doubt` of 1 gives it the normal weight, and larger
+    /// Learns from an observation. A `uncertainty` of 1 gives it the normal weight, and larger
     /// values reduce it. Observations that are not finite are ignored.
-    pub fn learn(&mut self, input: &[f64; N], observed: f64, doubt: f64) {
-        let is_valid = observed.is_finite() && doubt.is_finite() && observed >= 0.0;
+    pub fn learn(&mut self, input: &[f64; N], observed: f64, uncertainty: f64) {
+        let is_valid = observed.is_finite() && uncertainty.is_finite() && observed >= 0.0;
         if !is_valid || input.iter().any(|x| !x.is_finite()) {
             return;
         }
         let predicted = self.predict(input);
-        let noise = (NOISE * predicted).max(MIN_NOISE) * doubt.max(1.0);
+        let noise = (NOISE * predicted).max(MIN_NOISE) * uncertainty.max(1.0);
         self.update_drift((observed - predicted) / noise);
         let cov_input = self.covariance.map(|row| dot(&row, input));
         let variance = dot(&cov_input, input) + noise * noise;
--- a/crates/fleet/tests/learn.rs
+++ b/crates/fleet/tests/learn.rs
@@ -476,12 +476,12 @@
     ) {
         let mut costs = EngineCosts::default();
         let mut plain = PlainCosts::default();
-        for (own, ahead, running, took, doubt) in seen {
+        for (own, ahead, running, took, uncertainty) in seen {
             let load = EngineLoad { own: own >> 20, ahead: ahead >> 20, behind: 0, running };
             let took = Duration::from_micros(took);
-            costs.learn_first(&load, took, doubt);
-            costs.learn_rest(&load, took, f64::from(running), doubt);
-            plain.learn(took, doubt);
+            costs.learn_first(&load, took, uncertainty);
+            costs.learn_rest(&load, took, f64::from(running), uncertainty);
+            plain.learn(took, uncertainty);
             prop_assert!(costs.first_ms(&load).is_finite());
             prop_assert!(costs.pace_ms(&load, f64::from(running)).is_finite());
             prop_assert!(plain.service_ms().is_finite() && plain.service_ms() > 0.0);
--- a/crates/fleet/tests/signals.rs
+++ b/crates/fleet/tests/signals.rs
@@ -178,9 +178,9 @@
 /// the former instance. Signals that were read after the start of the later instance are
 /// ambiguous and keep it without work for a while; earlier ones belong to the former instance.
 ///
-/// It happened to a gateway whose connection to the store was delayed: it received the draining
-/// signal, learned of the new start time 0.5 s later, and sent work. Start times here count
-/// from the start of the VM.
+/// The soak test found it (seed 203): a gateway whose connection to the store was delayed
+/// received the draining signal, learned of the new start time 0.5 s later, and sent work.
+/// Start times here count from the start of the VM.
 #[test]
 fn a_signal_that_may_be_of_a_later_instance_keeps_it_without_work() {
     struct AmbiguityCase {
