--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -79,7 +79,7 @@
     /// Notified when the first roll-out is heard of.
     pub(crate) rollout_known: Notify,
     /// Steps of roll-outs as they were last logged.
-    pub(crate) told_phases: RefCell<BTreeMap<ServiceName, &'static str>>,
+    pub(crate) logged_phases: RefCell<BTreeMap<ServiceName, &'static str>>,
     /// Requests that crash servers.
     pub(crate) suspects: SharedBoard,
     pub(crate) pool: ConnectionPool,
@@ -99,14 +99,14 @@
     /// Notified after a suspension.
     pub(crate) woken: Notify,
     pub(crate) suspension: Cell<SuspensionWatch>,
-    pub(crate) tell_now: Notify,
+    pub(crate) send_updates_now: Notify,
     pub(crate) asks: WorkAsks,
     /// Wakes what waits for a server that is taken for silent.
     pub(crate) silence: Notify,
     /// Servers that were taken for silent when they were last looked at.
-    pub(crate) silent_servers: RefCell<BTreeSet<ServerId>>,
+    pub(crate) unresponsive_servers: RefCell<BTreeSet<ServerId>>,
     /// Sends changes of the store to the VMs that report to this one.
-    pub(crate) deltas_now: Notify,
+    pub(crate) send_deltas_now: Notify,
     pub(crate) rng: RefCell<StdRng>,
     next_attempt: Cell<u64>,
 }
@@ -170,7 +170,7 @@
             quotas: RefCell::new(quotas),
             rollouts: RefCell::new(RolloutTable::new(place.region, unix_start)),
             rollout_known: Notify::new(),
-            told_phases: RefCell::default(),
+            logged_phases: RefCell::default(),
             suspects: SharedBoard::default(),
             pool: ConnectionPool::default(),
             store: RefCell::default(),
@@ -184,11 +184,11 @@
             open_streams: Cell::new(0),
             woken: Notify::new(),
             suspension: Cell::new(SuspensionWatch::start()),
-            tell_now: Notify::new(),
+            send_updates_now: Notify::new(),
             asks: WorkAsks::default(),
             silence: Notify::new(),
-            silent_servers: RefCell::default(),
-            deltas_now: Notify::new(),
+            unresponsive_servers: RefCell::default(),
+            send_deltas_now: Notify::new(),
             rng: RefCell::new(StdRng::from_os_rng()),
             next_attempt: Cell::new(1),
             settings: RefCell::new(Rc::new(settings)),
@@ -283,7 +283,7 @@
     }
 
     /// Whether any other VM is known to live.
-    pub(crate) fn knows_others(&self) -> bool {
+    pub(crate) fn has_live_peers(&self) -> bool {
         let overlay = self.overlay.borrow();
         overlay.roster().others().any(KnownVm::is_alive)
     }
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -105,7 +105,7 @@
 /// Tells every VM at once of a change of this one; used when it leaves.
 pub(crate) fn tell_all(gateway: &Rc<Gateway>) {
     gateway.refresh_status();
-    gateway.tell_now.notify_waiters();
+    gateway.send_updates_now.notify_waiters();
 }
 
 /// Keeps a link as long as it is planned.
@@ -221,7 +221,7 @@
                         continue;
                     }
                     () = tokio::time::sleep_until(until) => break,
-                    () = self.gateway.tell_now.notified() => break,
+                    () = self.gateway.send_updates_now.notified() => break,
                     () = self.gateway.asks.ask_now.notified(), if is_report => {
                         self.asks = true;
                         break;
@@ -257,7 +257,7 @@
                     self.send_part().await?;
                     continue;
                 }
-                () = self.gateway.deltas_now.notified() => {
+                () = self.gateway.send_deltas_now.notified() => {
                     if is_member {
                         self.send_deltas(DeltaAudience::Members).await?;
                     }
@@ -386,7 +386,7 @@
     let Some(due) = due else { return };
     tokio::select! {
         () = tokio::time::sleep_until(due) => {}
-        () = gateway.tell_now.notified() => {}
+        () = gateway.send_updates_now.notified() => {}
     }
 }
 
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -48,7 +48,7 @@
             rollouts.other_side(now, service, &mut *self.rng.borrow_mut())?
         };
         // A VM that hears nobody would not learn that the version is given up.
-        if side == VersionSide::New && !self.knows_others() && self.expects_others() {
+        if side == VersionSide::New && !self.has_live_peers() && self.expects_others() {
             return None;
         }
         let step = self.choose_version(now, side, call)?;
@@ -229,7 +229,7 @@
     /// Logs each change of where requests go.
     fn tell_phases(&self, now: Moment) {
         let rollouts = self.rollouts.borrow();
-        let mut told = self.told_phases.borrow_mut();
+        let mut told = self.logged_phases.borrow_mut();
         for status in rollouts.statuses(now) {
             let phase = status.phase.as_str();
             if told.insert(status.service.clone(), phase) == Some(phase) {
--- a/crates/gateway/src/share.rs
+++ b/crates/gateway/src/share.rs
@@ -190,9 +190,9 @@
 
     fn push_delta(&self, audience: DeltaAudience, delta: StoreDelta) {
         self.share.borrow_mut().push(audience, delta);
-        self.deltas_now.notify_waiters();
+        self.send_deltas_now.notify_waiters();
         if audience == DeltaAudience::Everyone {
-            self.tell_now.notify_waiters();
+            self.send_updates_now.notify_waiters();
         }
     }
 
--- a/crates/gateway/src/silence.rs
+++ b/crates/gateway/src/silence.rs
@@ -45,7 +45,7 @@
     /// overdue after the other votes had come.
     pub(crate) fn refresh_silence(&self, now: Moment) {
         let live: BTreeSet<ServerId> = self.fleet.borrow().live().map(|(id, _)| id).collect();
-        self.silent_servers
+        self.unresponsive_servers
             .borrow_mut()
             .retain(|id| live.contains(id));
         for server in live {
@@ -58,7 +58,7 @@
     pub(crate) fn note_silence(&self, now: Moment, server: ServerId) {
         let fleet = self.fleet.borrow();
         let is_silent = fleet.is_silent(now, server);
-        let mut noted = self.silent_servers.borrow_mut();
+        let mut noted = self.unresponsive_servers.borrow_mut();
         let is_news = if is_silent {
             noted.insert(server)
         } else {
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -99,7 +99,7 @@
                 "request judged by the servers that it was lost with"
             );
         }
-        self.tell_now.notify_waiters();
+        self.send_updates_now.notify_waiters();
     }
 
     /// Notes that a request ran to a good end.
@@ -217,7 +217,7 @@
     }
 
     /// What is news of suspects on a link.
-    pub(crate) fn tell_suspects(&self, told: &mut SuspectsTold, update: &mut VmUpdate) {
+    pub(crate) fn collect_suspects(&self, told: &mut SuspectsTold, update: &mut VmUpdate) {
         let news = self.suspects.borrow().table.tell(self.now(), told);
         if !news.is_empty() {
             wire_suspects(&news, update);
@@ -225,7 +225,7 @@
     }
 
     /// Takes what another VM tells of suspects.
-    pub(crate) fn take_suspects(&self, now: Moment, update: &VmUpdate) {
+    pub(crate) fn apply_suspects(&self, now: Moment, update: &VmUpdate) {
         if update.suspects.is_empty() && update.lost_lives.is_empty() {
             return;
         }
@@ -234,7 +234,7 @@
             .count_more("onyxfall_absurd_suspects_total", malformed);
         let is_urgent = self.suspects.borrow_mut().table.take(now, &news);
         if is_urgent {
-            self.tell_now.notify_waiters();
+            self.send_updates_now.notify_waiters();
         }
     }
 }
--- a/crates/gateway/src/updates.rs
+++ b/crates/gateway/src/updates.rs
@@ -73,7 +73,7 @@
         update.copy_is_whole = self.copy_is_whole();
         update.costs = cost_view(relation).map_or_else(Vec::new, |view| told.costs.due(self, view));
         update.regions = self.region_words(now, relation, &mut told.regions);
-        self.tell_suspects(&mut told.suspects, &mut update);
+        self.collect_suspects(&mut told.suspects, &mut update);
         update
     }
 
@@ -100,7 +100,7 @@
         }
         take_costs(self, from, cost_teller(relation), &update.costs);
         self.take_regions(now, relation, &update.regions);
-        self.take_suspects(now, update);
+        self.apply_suspects(now, update);
         self.compare_copy(
             from,
             PeerCopy {
@@ -126,7 +126,7 @@
             watches_store: self.store.borrow().is_watched(),
         };
         if self.overlay.borrow_mut().roster_mut().set_status(status) {
-            self.tell_now.notify_waiters();
+            self.send_updates_now.notify_waiters();
         }
     }
 
