--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt of a request: at a server of this region, or at another VM.
 //!
-//! Invariant: an attempt counts as not run only if no byte of it was written,
-//! or if the other side said so.
+//! Invariant: an attempt counts as not run only if no byte of it was written, or if the
+//! other side reports that it did not run.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -28,48 +28,45 @@
 use crate::silence::{wait_for_replacement, wait_for_silence};
 use crate::suspension::within_deadline;
 
-/// Largest body of a refusal that is read so that its connection can be kept.
+/// Largest body of a rejection that is drained so that its connection can be reused.
 const REFUSAL_BODY_LIMIT: usize = 64 * 1024;
-/// Longest wait for the rest of a refusal.
+/// Longest wait for the rest of the body of a rejection.
 const REFUSAL_BODY_WAIT: Duration = Duration::from_millis(200);
 
 /// A server to try.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerTarget {
-    /// The server.
+    /// Id of the server.
     pub(crate) id: ServerId,
-    /// Name of its life.
+    /// Name of the server instance.
     pub(crate) name: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub(crate) address: SocketAddr,
-    /// Expected times.
+    /// Predicted times.
     pub(crate) predicted: TimePrediction,
     /// Why it was chosen.
     pub(crate) reason: ChoiceReason,
 }
 
-/// Head of an answer, with the body still to come.
+/// Head of a response whose body is still being received.
 pub(crate) struct UpstreamResponse {
-    /// Status as sent.
     pub(crate) status: StatusCode,
-    /// Headers as sent.
     pub(crate) headers: HeaderMap,
-    /// Body.
     pub(crate) body: Incoming,
-    /// Connection that it comes on.
+    /// Connection that the response arrives on.
     pub(crate) connection: HttpConnection,
-    /// Other end of the connection.
+    /// Remote address of the connection.
     pub(crate) address: SocketAddr,
-    /// Booking of the attempt; none if another VM books it.
+    /// Accounting of the attempt; `None` if another VM accounts for it.
     pub(crate) booking: Option<OpenAttempt>,
-    /// Events that have come so far.
+    /// Number of events received so far.
     pub(crate) events: u32,
-    /// Where a copy of the run is kept, if anywhere.
+    /// Backup copy of the run, if there is one.
     pub(crate) copy: Option<RunBackup>,
 }
 
 impl UpstreamResponse {
-    /// Books the end, and keeps the connection if the answer is whole.
+    /// Records the result, and returns the connection to the pool if the response is whole.
     pub(crate) fn finish(mut self, gateway: &Gateway, result: AttemptResult) {
         if let Some(booking) = &mut self.booking {
             booking.finish_stream(result, Some(self.events));
@@ -82,20 +79,20 @@
     }
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 pub(crate) enum AttemptEnd {
-    /// An answer has begun.
+    /// The head of a response was received.
     Answer(Box<UpstreamResponse>),
-    /// It did not run and will not.
+    /// The request did not run and will not.
     NotRun {
         /// Whether the request reached a server.
         arrived: bool,
-        /// Why, for the log.
+        /// Reason, for the log.
         cause: &'static str,
     },
-    /// It may have run, and brings no answer.
+    /// The request may have run, but its response is lost.
     Lost {
-        /// Why, for the log.
+        /// Reason, for the log.
         cause: &'static str,
     },
 }
@@ -109,7 +106,7 @@
 ) -> AttemptEnd {
     let is_from_start = extra.is_empty();
     let mut booking = OpenAttempt::start(gateway, target.id, call, is_from_start);
-    // What goes on from a copy, or resumes, is not copied once more.
+    // A run that is resumed or continued from a backup is not backed up again.
     let copy = if is_from_start {
         gateway.start_copy(call, target)
     } else {
@@ -137,7 +134,7 @@
         server: Some(target.id),
     };
     let exchanged = exchange(gateway, call, &way, make);
-    // A request that may run only once waits on while the server may still answer.
+    // A request that may run only once keeps waiting while its server may still respond.
     let exchanged = if call.rules.repeatable {
         tokio::select! {
             exchanged = exchanged => exchanged,
@@ -197,7 +194,7 @@
     }
 }
 
-/// Passes a request on to a VM of another region.
+/// Forwards a request to a VM of another region.
 pub(crate) async fn try_peer(
     gateway: &Rc<Gateway>,
     call: &SharedCall,
@@ -248,7 +245,7 @@
     }
 }
 
-/// How long to wait for a connection to a server of the region.
+/// Dial limit for servers of this region.
 fn near_limit(gateway: &Gateway) -> Duration {
     if gateway.is_on(DecisionSwitch::EarlyDial) {
         NEAR_DIAL_LIMIT
@@ -257,7 +254,7 @@
     }
 }
 
-/// How long to wait for a connection to a VM of another region.
+/// Dial limit for VMs of another region.
 fn far_limit(gateway: &Gateway, target: &PeerTarget) -> Duration {
     if gateway.is_on(DecisionSwitch::EarlyDial) {
         let limit = gateway.trips.borrow().dial_limit(Some(&target.region), 0);
@@ -267,14 +264,14 @@
     }
 }
 
-/// Why an exchange brought no head of an answer.
+/// Why an exchange ended without the head of a response.
 enum ExchangeFailure {
     Unreachable,
     Broken,
     TimedOut,
-    /// The server is taken for silent by all VMs.
+    /// The server is unresponsive to all VMs.
     Silent,
-    /// The server has said meanwhile that it wants no work.
+    /// The server has asked for no work since it was chosen.
     Held,
 }
 
@@ -311,18 +308,18 @@
     }
 }
 
-/// Where a request is sent.
+/// Destination of an exchange.
 struct ExchangeWay {
     address: SocketAddr,
-    /// How long to wait for a connection.
+    /// Longest time to establish a connection.
     dial_limit: Duration,
-    /// The server there; none if it is another VM.
+    /// Server at the address; `None` if it is another VM.
     server: Option<ServerId>,
 }
 
 impl ExchangeWay {
-    /// Fails if the server has said since it was chosen that it wants no work: a new
-    /// connection takes up to a quarter of a second, and none is to be sent after that.
+    /// Fails if the server has started draining or asked for backoff since it was chosen. A
+    /// new connection takes up to a quarter of a second, and no request may follow that signal.
     fn check_wanted(&self, gateway: &Gateway) -> Result<(), ExchangeFailure> {
         let now = gateway.now();
         let is_wanted = |server| gateway.fleet.borrow().may_send(now, server);
@@ -334,7 +331,7 @@
     }
 }
 
-/// Sends a request on a kept connection or a new one, up to the answer's head.
+/// Sends a request on a pooled or a new connection and waits for the head of the response.
 async fn exchange(
     gateway: &Gateway,
     call: &CallContext,
@@ -352,7 +349,7 @@
             way.check_wanted(gateway)?;
             match kept.send(make()).await {
                 Ok(response) => return Ok((kept, response)),
-                // The other side had closed it; nothing was written.
+                // The other side had closed the connection; nothing was written.
                 Err(SendError::Unsent) => {}
                 Err(SendError::Broken(e)) => return Err(broken(address, &e)),
             }
@@ -404,7 +401,7 @@
     }
 }
 
-/// Reads the rest of a refusal, so that its connection can serve again.
+/// Drains the body of a rejection, so that its connection can be reused.
 async fn keep_after_refusal(
     gateway: &Gateway,
     address: SocketAddr,
--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -1,4 +1,4 @@
-//! Where a request goes: a server of this region, another region, or nowhere.
+//! Routing decision: a server of this region, another region, or rejection.
 
 use std::borrow::Cow;
 use std::time::Duration;
@@ -18,54 +18,54 @@
 use crate::report::millis;
 use crate::serve::CallProgress;
 
-/// Pause between two looks for a server while none is usable.
+/// Interval at which a request checks again for a server while none is usable.
 const LOOK_AGAIN: Duration = Duration::from_millis(25);
-/// Part of the goal for which a request waits for a usable server; a refusal
+/// Share of the latency goal for which a request waits for a usable server. A rejection
 /// later than a quarter of the goal counts as late.
 const PATIENCE_PART: f64 = 0.22;
-/// Age up to which a VM may not have heard of the other regions yet, and the
-/// part of the goal for which requests wait there: what waits is then served.
+/// Age up to which a VM may not have discovered the other regions, and the share of the
+/// goal for which requests wait during that time. What waits that long is then served.
 const YOUNG: Duration = Duration::from_millis(1500);
 const YOUNG_PATIENCE_PART: f64 = 0.6;
-/// Part of the goal up to which a prompt may be read behind all others at a server.
-/// Beyond, a request makes more others late than it is worth, the longer its own
-/// prompt the more; a refusal at once lets the caller come back. On 24 days of three
-/// sites 0.7 and 1.0 of the goal brought a mean worth of 0.701 and 0.702, with 3.1 and
-/// 2.8 % of requests refused.
+/// Share of the goal up to which a prompt may be prefilled behind all others at a server.
+/// Beyond it, a request delays others by more than its own value, and the more the longer
+/// its prompt is; an early rejection lets the caller retry. On 24 days of three sites, 0.7
+/// and 1.0 of the goal gave a mean value of 0.701 and 0.702, with 3.1 and 2.8 % of requests
+/// rejected.
 const OVERLOAD_PART: f64 = 1.0;
-/// Part of the goal up to which others' work is no reason to refuse: where hardly
-/// anything waits, refusing a long prompt helps nobody.
+/// Share of the goal up to which a backlog is no reason to reject a request. Where hardly
+/// anything is queued, rejecting a long prompt makes nothing else faster.
 const IDLE_PART: f64 = 0.1;
-/// Part of the goal within which another region must answer a request that this one has
-/// no room for: predictions err by some tens of milliseconds.
+/// Share of the goal within which another region must respond to a request that this one
+/// has no capacity for. Predictions are off by some tens of milliseconds.
 const SPILL_PART: f64 = 0.75;
-/// Part of the expected time of a whole answer that most answers need: a fifth ended
-/// within 0.51 to 0.58 of it on three days with a rush. A request is refused for its
-/// end only if the caller will hardly get it. Refusing at the expected time itself
-/// lost 0.008 of worth on one site, and won 0.004 on another.
+/// Share of the predicted time of a whole response that most responses need: a fifth
+/// ended within 0.51 to 0.58 of it on three days with a load spike. A request is rejected
+/// for its predicted end only if the caller is unlikely to receive the response. Rejecting
+/// at the predicted time itself lost 0.008 of value on one site and gained 0.004 on another.
 const LIKELY_PART: f64 = 0.6;
-/// Bounds of the time after which a refused caller is told to come back.
+/// Range of the retry delay sent to rejected callers.
 const RETRY_AFTER_RANGE: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_millis(900));
-/// Part of a time of rest, and least time, over which callers that are told its end are
-/// spread: they are not to come back in the same moment to a server that has just rested.
+/// Share of a backoff, and least time, over which the retries of callers are spread after
+/// its end, so that they do not all reach a server that has just recovered at once.
 const REST_SPREAD_PART: f64 = 0.2;
 const LEAST_REST_SPREAD: Duration = Duration::from_millis(300);
 
-/// Where a request goes next.
+/// Next step of a request.
 pub(crate) enum RouteStep {
-    /// To a server of this region.
+    /// Send it to a server of this region.
     Server(ServerTarget),
-    /// To a VM of another region.
+    /// Forward it to a VM of another region.
     Peer(PeerTarget),
-    /// Nowhere yet; look again after a pause.
+    /// Decide again after a pause.
     Later(Duration),
-    /// Nowhere.
+    /// Reject it.
     Refuse(RequestError),
 }
 
 impl Gateway {
-    /// Decides where a request goes next.
+    /// Decides the next step of a request.
     pub(crate) fn decide(&self, call: &SharedCall, progress: &CallProgress) -> RouteStep {
         if let Some(step) = self.decide_suspect(call, progress) {
             return step;
@@ -143,8 +143,8 @@
         RouteStep::Server(server_target(&fleet, &choice))
     }
 
-    /// The region that a request to a plain service goes to since this one is offered
-    /// more than it can do, by chance.
+    /// Draws a region for a request to a plain service while this region is offered more load
+    /// than it can serve. `None` if the request stays here.
     fn spill(
         &self,
         now: Moment,
@@ -156,7 +156,7 @@
         if needs.engine.is_some() || !self.leaves(call) {
             return None;
         }
-        // A server here has turned it away: the others of the region are as full.
+        // A server here rejected the request; the others of the region are as full.
         let is_turned_away = progress.arrivals > progress.runs;
         let overflow = if is_turned_away {
             1.0
@@ -191,7 +191,7 @@
         Some(drawn)
     }
 
-    /// Counts a request for the rates of its service, with its first attempt.
+    /// Counts a request for the arrival rates of its service at its first attempt.
     pub(crate) fn note_rate(&self, call: &CallContext, progress: &CallProgress) {
         if progress.arrivals + progress.unreached > 0 {
             return;
@@ -205,14 +205,14 @@
         fleet.note_rate(now, &call.needs.service, kind);
     }
 
-    /// Whether a request may leave the region.
+    /// Whether a request may be forwarded to another region.
     fn leaves(&self, call: &CallContext) -> bool {
         let policy = self.settings().switches.policy();
         let stays = matches!(policy, ChoicePolicy::LocalOnly | ChoicePolicy::RoundRobin);
         !stays && call.may_leave() && self.is_on(DecisionSwitch::SendAway)
     }
 
-    /// Sends the request to a region drawn by its usable servers; a baseline.
+    /// Forwards the request to a random region, weighted by usable servers; a baseline policy.
     fn weigh_at_random(
         &self,
         now: Moment,
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Waits while the caller's patience lasts; then refuses, to come back `after`.
+    /// Waits up to a share of the request's goal, then rejects it with retry delay `after`.
     pub(crate) fn wait_or_refuse(
         &self,
         call: &CallContext,
@@ -257,9 +257,9 @@
         RouteStep::Refuse(overloaded(detail, after))
     }
 
-    /// Waits where a server may have work again within the caller's patience; otherwise
-    /// refuses at once, to come back when the first of them may: nothing else that the
-    /// caller could wait for is known.
+    /// Waits if a server's backoff ends soon enough for the request. Otherwise rejects the
+    /// request at once with a retry delay up to the end of the first backoff, since nothing
+    /// else can make a server usable.
     pub(crate) fn wait_for_rest(&self, call: &CallContext, left: Duration) -> RouteStep {
         let patience = call.needs.goal.mul_f64(PATIENCE_PART);
         if call.age() + left.max(LOOK_AGAIN) < patience {
@@ -295,8 +295,8 @@
         })
     }
 
-    /// Whether an answer comes too late to be worth its work: there is too much before
-    /// it, or the caller will have left.
+    /// Whether a response would come too late to be worth its work: the backlog is too long,
+    /// or the caller will have disconnected.
     pub(crate) fn is_too_late(&self, call: &CallContext, predicted: &TimePrediction) -> bool {
         let refuses = self.is_on(DecisionSwitch::RefusePredicted);
         let is_full = refuses
@@ -329,7 +329,7 @@
     }
 }
 
-/// What a request needs from here on: of a stream, what the caller does not have yet.
+/// Requirements of the rest of a request: for a stream, of the events not yet sent.
 fn remaining_needs<'a>(
     call: &'a CallContext,
     progress: &CallProgress,
@@ -344,7 +344,7 @@
     Cow::Owned(needs)
 }
 
-/// A search that follows no prefix and leaves no VM out.
+/// A search without a preferred prefix home and without excluded regions.
 fn plain_search<'a>(
     fleet: &'a FleetView,
     trips: &'a RoundTrips,
--- a/crates/gateway/src/listen.rs
+++ b/crates/gateway/src/listen.rs
@@ -185,7 +185,7 @@
     let request_id = head.as_ref().map(|head| head.request_id.clone());
     let result = match read_request(&gateway, request, head, arrived).await {
         Ok((call, charge)) => {
-            gateway.note_first(&call.needs.service);
+            gateway.record_first_request(&call.needs.service);
             let served = serve(&gateway, &Rc::new(call)).await;
             settle(charge, &served);
             served
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,8 +1,8 @@
-//! A request from decision to answer: attempts, retries, the verdict.
+//! Serves a request: attempts, retries and the final verdict.
 //!
-//! A second attempt is made only while nothing of an answer has left, and only
-//! if the request may be repeated or every attempt so far did not run. The
-//! request's verdict is the largest of its attempts'.
+//! A request is retried only while nothing of a response has been sent to the caller, and
+//! only if it is repeatable or no attempt so far ran. The verdict of the request is the
+//! largest verdict of its attempts.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,73 +23,73 @@
 use crate::stream::StreamRelay;
 use crate::suspension::within_deadline;
 
-/// Arrivals at servers that one request may cause, refusals included.
+/// Most times that one request may reach a server, including rejections.
 const MAX_ARRIVALS: u32 = 3;
-/// Attempts that reach nobody (no connection) before a request is refused.
+/// Attempts without a connection after which a request is rejected.
 const MAX_UNREACHED: u32 = 6;
-/// Answers up to this size are read whole before the caller gets their head, so
-/// that one that breaks off can still be replaced.
+/// Responses up to this size are buffered whole before their head is sent to the caller,
+/// so that a response cut off by a lost connection can be replaced by a retry.
 const WHOLE_LIMIT: usize = 256 * 1024;
-/// Pause that a caller is told when nothing better is known.
+/// Retry delay sent to a caller when no better one is known.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// What a request has been through.
+/// Attempts of a request so far.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CallProgress {
     /// Servers that are not tried again.
     pub(crate) servers: Vec<ServerId>,
     /// VMs that are not tried again.
     pub(crate) vms: Vec<VmName>,
-    /// Attempts that reached a server.
+    /// Number of attempts that reached a server.
     pub(crate) arrivals: u32,
-    /// Attempts that may have run.
+    /// Number of attempts that may have run.
     pub(crate) runs: u32,
-    /// Attempts that reached nobody.
+    /// Number of attempts without a connection.
     pub(crate) unreached: u32,
-    /// Times that another server went on with the stream.
+    /// Number of times that another server resumed the stream.
     pub(crate) resumes: u32,
-    /// Events that the caller has.
+    /// Number of events forwarded to the caller.
     pub(crate) events: u32,
-    /// Whether the end was logged.
+    /// Whether the end of the request was logged.
     pub(crate) is_told: bool,
-    /// Expected times of the last attempt.
+    /// Predicted times of the last attempt.
     pub(crate) predicted: TimePrediction,
     /// Age of the request when the last attempt was sent.
     pub(crate) sent: Duration,
-    /// Time from the request to the first byte of its answer.
+    /// Time from the arrival of the request to the head of its response.
     pub(crate) first_byte: Duration,
-    /// Where the last attempt went, for the log.
+    /// Server or VM of the last attempt, for the log.
     pub(crate) last_target: String,
-    /// Why the last attempt went there, for the log.
+    /// Why the last attempt went to that server or VM, for the log.
     pub(crate) reason: &'static str,
     /// Why the last attempt failed, for the log.
     pub(crate) last_cause: &'static str,
 }
 
-/// An answer that a server gave whole.
+/// A response that was received whole.
 struct WholeAnswer {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-/// The end of a request without an answer of a server.
+/// Result of a request without a response from a server.
 #[derive(Debug)]
 pub(crate) struct CallFailure {
-    /// Why, and whether it may have run.
+    /// Why it failed, and whether it may have run.
     pub(crate) error: RequestError,
-    /// Attempts that reached a server.
+    /// Number of attempts that reached a server.
     pub(crate) arrivals: u32,
 }
 
 impl From<RequestError> for CallFailure {
-    /// A request that was refused before any attempt.
+    /// Converts the error of a request that was rejected before any attempt.
     fn from(error: RequestError) -> Self {
         Self { error, arrivals: 0 }
     }
 }
 
-/// Serves a request; the answer may still be on its way when this returns.
+/// Serves a request. The body of the response may still be streaming when this returns.
 pub(crate) async fn serve(
     gateway: &Rc<Gateway>,
     call: &SharedCall,
@@ -131,17 +131,17 @@
     }
 }
 
-/// A stream that another server goes on with.
+/// A stream resumed by another server.
 pub(crate) struct ResumedStream {
-    /// The answer of that server.
+    /// Response of that server.
     pub(crate) answer: Box<UpstreamResponse>,
-    /// What the request has been through, this answer included.
+    /// Attempts of the request so far, including this one.
     pub(crate) progress: CallProgress,
 }
 
-/// Asks another server to go on with a stream after `last_event`. Servers that go on
-/// with it count as attempts: without that, one caption reached four servers in half a
-/// second where its route allows two, and crashed them all.
+/// Resumes a stream after `last_event` at another server. Each resumption counts as an
+/// attempt; otherwise a request that crashes its servers reaches more of them than its
+/// route allows, as when one reached four servers in half a second with two allowed.
 pub(crate) async fn resume(
     gateway: &Rc<Gateway>,
     call: &SharedCall,
@@ -179,7 +179,7 @@
     }
 }
 
-/// Decides where the request goes next and sends it there.
+/// Decides the next step of a request and makes the attempt.
 async fn next_attempt(
     gateway: &Rc<Gateway>,
     call: &SharedCall,
@@ -189,7 +189,7 @@
     loop {
         gateway.hear_before_choice().await;
         let step = gateway.decide(call, progress);
-        // A request that is held looks again every few milliseconds, and has changed nothing.
+        // A waiting request decides again every few milliseconds without any change of its own.
         if !matches!(step, RouteStep::Later(_)) {
             gateway.note_own_change();
         }
@@ -225,7 +225,7 @@
     }
 }
 
-/// Books a failed attempt; an error if the request may not be tried again.
+/// Records a failed attempt. Returns an error if the request may not be retried.
 fn note_failure(
     gateway: &Gateway,
     call: &SharedCall,
@@ -260,7 +260,7 @@
     );
 }
 
-/// Whether the request may be sent once more; takes it from the retry budget.
+/// Checks whether the request may be retried, and claims a retry from the budget.
 fn check_repeat(
     gateway: &Gateway,
     call: &SharedCall,
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -32,7 +32,7 @@
 /// Waits for the order to stop, serves out the grace and returns.
 pub(crate) async fn run(gateway: &Rc<Gateway>) {
     wait_for_order().await;
-    gateway.stop_asked.set(Some(BootInstant::now()));
+    gateway.shutdown_requested.set(Some(BootInstant::now()));
     log::info!(open = gateway.open_requests.get(); "stopping");
     tell_all(gateway);
     let end = end_of(gateway);
@@ -62,7 +62,7 @@
 }
 
 fn age_of_stop(gateway: &Gateway) -> Option<Duration> {
-    gateway.stop_asked.get().map(BootInstant::elapsed)
+    gateway.shutdown_requested.get().map(BootInstant::elapsed)
 }
 
 fn grace_left(gateway: &Gateway) -> Option<Duration> {
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,9 +1,10 @@
-//! A stream of events passed on as it comes.
+//! Forwards a stream of events as it arrives.
 //!
-//! Where the route allows it, another server goes on with a stream that broke
-//! off: then only whole events are passed on, and the id of the last one names
-//! the point to go on from. Otherwise bytes are passed on as they are, and a
-//! break breaks the caller's answer too, so that it never looks complete.
+//! Where the route allows it, or a backup copy of the run exists, another server resumes a
+//! stream after a lost connection. Such a stream is forwarded in whole events, and the id of
+//! the last event names the point to resume from. Any other stream is forwarded byte by
+//! byte, and a lost connection aborts the response to the caller, so that it never looks
+//! complete.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -23,12 +24,12 @@
 use crate::silence::wait_for_silence;
 use crate::suspension::wait_for_deadline;
 
-/// End of an event in a stream.
+/// Marks the end of an event.
 const EVENT_END: &[u8] = b"\n\n";
-/// Line of an event that holds its id.
+/// Prefix of the line that holds the id of an event.
 const ID_FIELD: &[u8] = b"id:";
 
-/// Cuts a stream into whole events.
+/// Splits a stream into whole events.
 #[derive(Debug, Default)]
 struct EventBuffer {
     rest: BytesMut,
@@ -36,7 +37,7 @@
 }
 
 impl EventBuffer {
-    /// Adds bytes; returns the whole events that they complete.
+    /// Adds bytes and returns the whole events that they complete.
     fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.rest.extend_from_slice(bytes);
         let end = self
@@ -60,15 +61,15 @@
     Some(id.trim().to_owned())
 }
 
-/// Counts the events of a stream by the empty lines that end them, whatever the
-/// pieces in which it comes.
+/// Counts the events of a stream by the empty lines that end them, however the stream is
+/// split into frames.
 #[derive(Debug, Default)]
 struct EventCounter {
     ends_in_newline: bool,
 }
 
 impl EventCounter {
-    /// Number of events that end in `bytes`.
+    /// Returns the number of events that end in `bytes`.
     fn count(&mut self, bytes: &[u8]) -> u32 {
         let mut events = 0;
         for byte in bytes {
@@ -84,17 +85,17 @@
     }
 }
 
-/// What is going on with a stream.
+/// State of a relayed stream.
 enum RelayState {
-    /// A server sends it.
+    /// A server is sending the stream.
     Open(Box<UpstreamResponse>),
-    /// Another server is being asked to go on.
+    /// Another server is being asked to resume the stream.
     Resuming(LocalBoxFuture<'static, Option<ResumedStream>>),
-    /// It is over.
+    /// The stream has ended.
     Ended,
 }
 
-/// A stream on its way to a caller or another VM.
+/// Forwards a stream to a caller or another VM.
 pub(crate) struct StreamRelay {
     gateway: Rc<Gateway>,
     call: SharedCall,
@@ -102,15 +103,16 @@
     state: RelayState,
     buffer: Option<EventBuffer>,
     counter: EventCounter,
-    /// Events passed on, of all servers.
+    /// Number of events forwarded, over all servers.
     events: u32,
     deadline: LocalBoxFuture<'static, ()>,
-    /// Ends when the server that sends it is taken for silent, if another one can go on.
+    /// Completes when the sending server becomes unresponsive; `None` if no other server
+    /// could resume the stream.
     silence: Option<LocalBoxFuture<'static, ()>>,
 }
 
 impl StreamRelay {
-    /// Passes on the body of `answer`.
+    /// Starts forwarding the body of `answer`.
     pub(crate) fn new(
         gateway: &Rc<Gateway>,
         call: &SharedCall,
@@ -134,7 +136,7 @@
         }
     }
 
-    /// The next bytes.
+    /// Polls for the next frame to forward.
     pub(crate) fn poll_next(
         &mut self,
         cx: &mut Context<'_>,
@@ -150,7 +152,7 @@
                     Poll::Pending => return Poll::Pending,
                     Poll::Ready(Some(ResumedStream { answer, progress })) => {
                         self.progress = progress;
-                        // A run that goes on from its copy has no other one.
+                        // A run continued from its backup has no further backup.
                         self.silence = match self.call.rules.answer {
                             ResponseRule::Resumable => silence_of(&self.gateway, &answer),
                             _ => None,
@@ -189,7 +191,7 @@
         }
     }
 
-    /// Whether the server is taken for silent; asked while nothing comes.
+    /// Whether the server has become unresponsive; polled while no data arrives.
     fn is_silent(&mut self, cx: &mut Context<'_>) -> bool {
         let has_last = self.buffer.as_ref().is_some_and(|b| b.last_id.is_some());
         if self.call.rules.answer == ResponseRule::LostWithServer && !has_last {
@@ -221,7 +223,7 @@
         }
     }
 
-    /// The server ended the stream; what is left of an event is passed on.
+    /// Ends the stream after its last byte and forwards the rest of an incomplete event.
     fn complete(&mut self) -> Option<Result<Frame<Bytes>, RelayError>> {
         let call = &self.call;
         self.gateway
@@ -280,8 +282,8 @@
     }
 }
 
-/// Ends when the server of an answer is taken for silent; none if another VM's answer
-/// is passed on.
+/// Completes when the server of `answer` becomes unresponsive. `None` if the response comes
+/// from another VM.
 fn silence_of(
     gateway: &Rc<Gateway>,
     answer: &UpstreamResponse,
