--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -179,7 +179,7 @@
         } else {
             fleet.excess(now, &needs.service)
         };
-        let away = self.away.borrow();
+        let away = self.remote_table.borrow();
         let drawn = away.draw_spare(now, &search, limit, excess, rng)?;
         log::info!(
             request = call.request_id.as_str(),
@@ -228,7 +228,7 @@
         let own = u32::try_from(own.count()).unwrap_or(u32::MAX);
         let drawn = if call.may_leave() {
             let rng = &mut *self.rng.borrow_mut();
-            self.away.borrow().draw(now, &search, own, rng)
+            self.remote_table.borrow().draw(now, &search, own, rng)
         } else {
             None
         };
@@ -285,7 +285,7 @@
         };
         let tag = name_tag(call.needs.service.as_str());
         let now = self.now();
-        self.away.borrow_mut().note_sent(now, &away, tag);
+        self.remote_table.borrow_mut().note_sent(now, &away, tag);
         RouteStep::Peer(PeerTarget {
             vm: target.vm,
             address: target.address,
@@ -325,7 +325,7 @@
             excluded: &excluded,
             ..plain_search(&fleet, &trips, &call.needs)
         };
-        self.away.borrow().best(now, &search)
+        self.remote_table.borrow().best(now, &search)
     }
 }
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -68,7 +68,7 @@
     /// Unknown signal headers of servers that were already logged.
     pub(crate) unknown_signal_headers: RefCell<BTreeSet<String>>,
     pub(crate) relays: RefCell<RelayTable>,
-    pub(crate) away: RefCell<RemoteTable>,
+    pub(crate) remote_table: RefCell<RemoteTable>,
     /// Round-trip times to other regions.
     pub(crate) trips: RefCell<RoundTrips>,
     /// Response lengths by route.
@@ -103,7 +103,7 @@
     pub(crate) suspension: Cell<SuspensionWatch>,
     /// Notified to send an update on every link that this VM has dialled.
     pub(crate) send_updates_now: Notify,
-    pub(crate) asks: WorkQueries,
+    pub(crate) queries: WorkQueries,
     /// Notified when a server becomes unresponsive.
     pub(crate) silence: Notify,
     /// Servers that were unresponsive at the last check.
@@ -166,7 +166,7 @@
             own_work_at: Cell::new(None),
             unknown_signal_headers: RefCell::default(),
             relays: RefCell::default(),
-            away: RefCell::default(),
+            remote_table: RefCell::default(),
             trips: RefCell::default(),
             lengths: RefCell::default(),
             retries: RefCell::default(),
@@ -188,7 +188,7 @@
             woken: Notify::new(),
             suspension: Cell::new(SuspensionWatch::start()),
             send_updates_now: Notify::new(),
-            asks: WorkQueries::default(),
+            queries: WorkQueries::default(),
             silence: Notify::new(),
             unresponsive_servers: RefCell::default(),
             send_deltas_now: Notify::new(),
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -222,11 +222,11 @@
                     }
                     () = tokio::time::sleep_until(until) => break,
                     () = self.gateway.send_updates_now.notified() => break,
-                    () = self.gateway.asks.ask_now.notified(), if is_report => {
+                    () = self.gateway.queries.ask_now.notified(), if is_report => {
                         self.asks = true;
                         break;
                     }
-                    () = self.gateway.asks.own_changed.notified(), if is_report => {
+                    () = self.gateway.queries.own_changed.notified(), if is_report => {
                         self.gateway.own_work_at.set(None);
                         continue;
                     }
@@ -263,7 +263,7 @@
                     }
                     continue;
                 }
-                () = self.gateway.asks.changed.notified(), if is_member => continue,
+                () = self.gateway.queries.changed.notified(), if is_member => continue,
                 () = wait_due(self.gateway, due), if is_member => {
                     self.send_update(LinkRelation::Digest, false).await?;
                     told_sum = Some(tokio::time::Instant::now());
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -216,7 +216,7 @@
                 let is_predicted = target.reason == PeerReason::Away;
                 if matches!(end, AttemptEnd::Answer(_)) && is_predicted {
                     let took = call.age().saturating_sub(progress.sent);
-                    let mut away = gateway.away.borrow_mut();
+                    let mut away = gateway.remote_table.borrow_mut();
                     away.note_first(&target.region, target.predicted.first, took);
                 }
                 return Ok(end);
--- a/crates/gateway/src/updates.rs
+++ b/crates/gateway/src/updates.rs
@@ -99,7 +99,7 @@
         self.apply_work(now);
         match relation {
             LinkRelation::Digest => self.note_digest(),
-            LinkRelation::Report | LinkRelation::Partial => self.asks.changed.notify_waiters(),
+            LinkRelation::Report | LinkRelation::Partial => self.queries.changed.notify_waiters(),
             _ => {}
         }
         take_costs(self, from, cost_teller(relation), &update.costs);
@@ -162,7 +162,12 @@
         }
         let rate = flow as f64 / 1e3;
         let is_service = self.fleet.borrow_mut().set_told_rate(tag.0, rate);
-        if !is_service && !self.away.borrow_mut().set_told_rate(now, tag.0, rate) {
+        if !is_service
+            && !self
+                .remote_table
+                .borrow_mut()
+                .set_told_rate(now, tag.0, rate)
+        {
             log::debug!("work told of an unknown server {}", tag.0);
         }
     }
@@ -182,7 +187,7 @@
                 server: ServerTag(server.tag()),
                 share,
             });
-        let away = self.away.borrow();
+        let away = self.remote_table.borrow();
         let rates = fleet.own_rates(now).chain(away.own_rates(now));
         let rates = rates.map(|(tag, rate)| (tag, thousandths(rate).into()));
         let quotas = self.quotas.borrow();
@@ -215,7 +220,7 @@
                 evidence: self.region_evidence(),
             }],
             LinkRelation::Digest | LinkRelation::StandbyDigest => self
-                .away
+                .remote_table
                 .borrow()
                 .words(now)
                 .filter(|(region, said, _)| told.insert((*region).clone(), *said) != Some(*said))
@@ -261,7 +266,7 @@
                 .collect();
             self.take_far_evidence(&region, &word.evidence);
             self.quotas.borrow_mut().hear(said, &region, &demands);
-            self.away
+            self.remote_table
                 .borrow_mut()
                 .hear(said, &region, trip, loads.collect());
         }
