--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -20,18 +20,18 @@
 
 use crate::backup::RunBackup;
 use crate::call::{CallContext, SharedCall};
-use crate::connection::{HttpConnection, LATE_DIAL_LIMIT, NEAR_DIAL_LIMIT, SendError};
+use crate::connection::{HttpConnection, LATE_DIAL_LIMIT, LOCAL_DIAL_LIMIT, SendError};
 use crate::gateway::Gateway;
 use crate::open::OpenAttempt;
 use crate::pool::ConnectionChoice;
-use crate::relay::{PeerTarget, read_verdict, set_relay_headers};
+use crate::relay::{PeerTarget, parse_verdict, set_relay_headers};
 use crate::silence::{wait_for_replacement, wait_for_silence};
 use crate::suspension::within_deadline;
 
 /// Largest body of a rejection that is drained so that its connection can be reused.
-const REFUSAL_BODY_LIMIT: usize = 64 * 1024;
+const MAX_REJECTION_BODY: usize = 64 * 1024;
 /// Longest wait for the rest of the body of a rejection.
-const REFUSAL_BODY_WAIT: Duration = Duration::from_millis(200);
+const REJECTION_BODY_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A server to try.
 #[derive(Clone, Debug)]
@@ -58,18 +58,18 @@
     /// Remote address of the connection.
     pub(crate) address: SocketAddr,
     /// Accounting of the attempt; `None` if another VM accounts for it.
-    pub(crate) booking: Option<OpenAttempt>,
+    pub(crate) attempt: Option<OpenAttempt>,
     /// Number of events received so far.
     pub(crate) events: u32,
     /// Backup copy of the run, if there is one.
-    pub(crate) copy: Option<RunBackup>,
+    pub(crate) backup: Option<RunBackup>,
 }
 
 impl UpstreamResponse {
     /// Records the result, and returns the connection to the pool if the response is whole.
     pub(crate) fn finish(mut self, gateway: &Gateway, result: AttemptResult) {
-        if let Some(booking) = &mut self.booking {
-            booking.finish_stream(result, Some(self.events));
+        if let Some(attempt) = &mut self.attempt {
+            attempt.finish_stream(result, Some(self.events));
         }
         let is_whole = matches!(result, AttemptResult::Succeeded | AttemptResult::Failed);
         if is_whole {
@@ -105,14 +105,14 @@
     extra: &HeaderMap,
 ) -> AttemptEnd {
     let is_from_start = extra.is_empty();
-    let mut booking = OpenAttempt::start(gateway, target.id, call, is_from_start);
+    let mut attempt = OpenAttempt::start(gateway, target.id, call, is_from_start);
     // A run that is resumed or continued from a backup is not backed up again.
-    let copy = if is_from_start {
-        gateway.start_copy(call, target)
+    let backup = if is_from_start {
+        gateway.reserve_backup(call, target)
     } else {
         None
     };
-    let make = || {
+    let build = || {
         let mut headers = call.headers.clone();
         headers.extend(extra.clone());
         set_expected_server(&mut headers, &target.name);
@@ -122,73 +122,73 @@
         if call.needs.engine.is_some() {
             set_urgency(&mut headers, call.needs.urgency);
         }
-        if let Some(copy) = &copy {
-            set_copy_to(&mut headers, copy.address);
+        if let Some(backup) = &backup {
+            set_copy_to(&mut headers, backup.address);
         }
         set_time_left(&mut headers, call.time_left());
-        make_request(call, headers)
+        build_request(call, headers)
     };
-    let way = ExchangeWay {
+    let destination = ExchangeTarget {
         address: target.address,
-        dial_limit: near_limit(gateway),
+        dial_limit: local_dial_limit(gateway),
         server: Some(target.id),
     };
-    let exchanged = exchange(gateway, call, &way, make);
+    let exchanged = exchange(gateway, call, &destination, build);
     // A request that may run only once keeps waiting while its server may still respond.
     let exchanged = if call.rules.repeatable {
         tokio::select! {
             exchanged = exchanged => exchanged,
-            () = wait_for_silence(Rc::clone(gateway), target.id) => Err(ExchangeFailure::Silent),
+            () = wait_for_silence(Rc::clone(gateway), target.id) => Err(ExchangeFailure::Unresponsive),
         }
     } else {
         tokio::select! {
             exchanged = exchanged => exchanged,
-            () = wait_for_replacement(Rc::clone(gateway), target.id) => Err(ExchangeFailure::Silent),
+            () = wait_for_replacement(Rc::clone(gateway), target.id) => Err(ExchangeFailure::Unresponsive),
         }
     };
     let (connection, response) = match exchanged {
         Ok(exchanged) => exchanged,
         Err(failure) => {
-            booking.finish(failure.blame());
-            return failure.into_end();
+            attempt.finish(failure.attempt_result());
+            return failure.into_attempt_end();
         }
     };
     let kind = read_answer(response.status(), response.headers(), &call.request_id);
     if kind != ResponseKind::WrongServer {
-        let word = parse_signals(response.status(), response.headers());
-        gateway.record_signals(call, target.id, word);
+        let signals = parse_signals(response.status(), response.headers());
+        gateway.record_signals(call, target.id, signals);
         let is_own = matches!(kind, ResponseKind::Signed | ResponseKind::NotRun);
-        let sent = is_own.then(|| booking.started());
-        gateway.record_limit(target.id, word.limit, sent);
+        let sent_at = is_own.then(|| attempt.started());
+        gateway.record_limit(target.id, signals.limit, sent_at);
         gateway.record_unknown_signal_headers(response.headers());
     }
     match kind {
         ResponseKind::Signed => {
-            booking.answer();
-            let mut answer = upstream(connection, response, target.address, Some(booking));
-            answer.copy = copy;
+            attempt.record_first_byte();
+            let mut answer = upstream_response(connection, response, target.address, Some(attempt));
+            answer.backup = backup;
             AttemptEnd::Answer(Box::new(answer))
         }
         ResponseKind::NotRun => {
-            booking.finish(AttemptResult::Shed);
-            keep_after_refusal(gateway, target.address, connection, response).await;
+            attempt.finish(AttemptResult::Shed);
+            drain_rejection(gateway, target.address, connection, response).await;
             AttemptEnd::NotRun {
                 arrived: true,
-                cause: "the server did not take it",
+                cause: "the server rejected the request",
             }
         }
         ResponseKind::WrongServer => {
-            booking.finish(AttemptResult::Unknown);
+            attempt.finish(AttemptResult::Unknown);
             gateway.note_replaced(&target.name);
             AttemptEnd::NotRun {
                 arrived: true,
-                cause: "another server has the address",
+                cause: "another server instance has the address",
             }
         }
         ResponseKind::Stray => {
-            booking.finish(AttemptResult::Broken);
+            attempt.finish(AttemptResult::Broken);
             AttemptEnd::Lost {
-                cause: "the answer is not this request's",
+                cause: "the response does not belong to this request",
             }
         }
     }
@@ -201,64 +201,64 @@
     target: &PeerTarget,
     extra: &HeaderMap,
 ) -> AttemptEnd {
-    let make = || {
+    let build = || {
         let mut headers = call.headers.clone();
         headers.extend(extra.clone());
         set_relay_headers(&mut headers, gateway.vm(), call);
         set_time_left(&mut headers, call.time_left());
-        make_request(call, headers)
+        build_request(call, headers)
     };
-    let way = ExchangeWay {
+    let destination = ExchangeTarget {
         address: target.address,
-        dial_limit: far_limit(gateway, target),
+        dial_limit: remote_dial_limit(gateway, target),
         server: None,
     };
-    let (connection, response) = match exchange(gateway, call, &way, make).await {
+    let (connection, response) = match exchange(gateway, call, &destination, build).await {
         Ok(exchanged) => exchanged,
         Err(failure) => {
-            gateway.note_relay_failed(&target.vm);
-            return failure.into_end();
+            gateway.record_relay_failure(&target.vm);
+            return failure.into_attempt_end();
         }
     };
-    if let Some(word) = read_verdict(response.headers()) {
-        keep_after_refusal(gateway, target.address, connection, response).await;
-        return match word.verdict {
+    if let Some(peer) = parse_verdict(response.headers()) {
+        drain_rejection(gateway, target.address, connection, response).await;
+        return match peer.verdict {
             RunVerdict::NotRun => AttemptEnd::NotRun {
-                arrived: word.arrived,
-                cause: "the other region refused it",
+                arrived: peer.arrived,
+                cause: "the other region rejected the request",
             },
             RunVerdict::MayHaveRun | RunVerdict::Ran => AttemptEnd::Lost {
-                cause: "the other region lost it",
+                cause: "the other region lost the request",
             },
         };
     }
     match read_answer(response.status(), response.headers(), &call.request_id) {
-        ResponseKind::Signed => AttemptEnd::Answer(Box::new(upstream(
+        ResponseKind::Signed => AttemptEnd::Answer(Box::new(upstream_response(
             connection,
             response,
             target.address,
             None,
         ))),
         _ => AttemptEnd::Lost {
-            cause: "the other region's answer is not this request's",
+            cause: "the response of the other region does not belong to this request",
         },
     }
 }
 
 /// Dial limit for servers of this region.
-fn near_limit(gateway: &Gateway) -> Duration {
+fn local_dial_limit(gateway: &Gateway) -> Duration {
     if gateway.is_on(DecisionSwitch::EarlyDial) {
-        NEAR_DIAL_LIMIT
+        LOCAL_DIAL_LIMIT
     } else {
         LATE_DIAL_LIMIT
     }
 }
 
 /// Dial limit for VMs of another region.
-fn far_limit(gateway: &Gateway, target: &PeerTarget) -> Duration {
+fn remote_dial_limit(gateway: &Gateway, target: &PeerTarget) -> Duration {
     if gateway.is_on(DecisionSwitch::EarlyDial) {
         let limit = gateway.trips.borrow().dial_limit(Some(&target.region), 0);
-        limit.max(NEAR_DIAL_LIMIT)
+        limit.max(LOCAL_DIAL_LIMIT)
     } else {
         LATE_DIAL_LIMIT
     }
@@ -270,46 +270,46 @@
     Broken,
     TimedOut,
     /// The server is unresponsive to all VMs.
-    Silent,
+    Unresponsive,
     /// The server has asked for no work since it was chosen.
-    Held,
+    Declined,
 }
 
 impl ExchangeFailure {
-    fn blame(&self) -> AttemptResult {
+    fn attempt_result(&self) -> AttemptResult {
         match self {
             Self::Unreachable => AttemptResult::Unreachable,
-            Self::Broken | Self::Silent => AttemptResult::Broken,
+            Self::Broken | Self::Unresponsive => AttemptResult::Broken,
             Self::TimedOut => AttemptResult::Failed,
-            Self::Held => AttemptResult::Unknown,
+            Self::Declined => AttemptResult::Unknown,
         }
     }
 
-    fn into_end(self) -> AttemptEnd {
+    fn into_attempt_end(self) -> AttemptEnd {
         match self {
             Self::Unreachable => AttemptEnd::NotRun {
                 arrived: false,
                 cause: "no connection",
             },
             Self::Broken => AttemptEnd::Lost {
-                cause: "the connection broke",
+                cause: "the connection was lost",
             },
             Self::TimedOut => AttemptEnd::Lost {
-                cause: "no answer in time",
+                cause: "no response before the deadline",
             },
-            Self::Silent => AttemptEnd::Lost {
-                cause: "the server is silent",
+            Self::Unresponsive => AttemptEnd::Lost {
+                cause: "the server is unresponsive",
             },
-            Self::Held => AttemptEnd::NotRun {
+            Self::Declined => AttemptEnd::NotRun {
                 arrived: false,
-                cause: "the server wants no work",
+                cause: "the server is draining or in backoff",
             },
         }
     }
 }
 
 /// Destination of an exchange.
-struct ExchangeWay {
+struct ExchangeTarget {
     address: SocketAddr,
     /// Longest time to establish a connection.
     dial_limit: Duration,
@@ -317,17 +317,17 @@
     server: Option<ServerId>,
 }
 
-impl ExchangeWay {
+impl ExchangeTarget {
     /// Fails if the server has started draining or asked for backoff since it was chosen. A
     /// new connection takes up to a quarter of a second, and no request may follow that signal.
-    fn check_wanted(&self, gateway: &Gateway) -> Result<(), ExchangeFailure> {
+    fn check_accepting(&self, gateway: &Gateway) -> Result<(), ExchangeFailure> {
         let now = gateway.now();
-        let is_wanted = |server| gateway.fleet.borrow().may_send(now, server);
-        if self.server.is_none_or(is_wanted) {
+        let is_accepting = |server| gateway.fleet.borrow().may_send(now, server);
+        if self.server.is_none_or(is_accepting) {
             return Ok(());
         }
         gateway.metrics.count("onyxfall_sends_held_total");
-        Err(ExchangeFailure::Held)
+        Err(ExchangeFailure::Declined)
     }
 }
 
@@ -335,46 +335,46 @@
 async fn exchange(
     gateway: &Gateway,
     call: &CallContext,
-    way: &ExchangeWay,
-    make: impl Fn() -> Request<Full<Bytes>>,
+    destination: &ExchangeTarget,
+    build: impl Fn() -> Request<Full<Bytes>>,
 ) -> Result<(HttpConnection, Response<Incoming>), ExchangeFailure> {
-    let address = way.address;
+    let address = destination.address;
     let exchanged = within_deadline(gateway, call, async {
         let choice = if call.rules.repeatable {
             ConnectionChoice::Any
         } else {
-            ConnectionChoice::Proven
+            ConnectionChoice::Recent
         };
-        while let Some(mut kept) = gateway.pool.take(address, choice) {
-            way.check_wanted(gateway)?;
-            match kept.send(make()).await {
-                Ok(response) => return Ok((kept, response)),
+        while let Some(mut pooled) = gateway.pool.claim(address, choice) {
+            destination.check_accepting(gateway)?;
+            match pooled.send(build()).await {
+                Ok(response) => return Ok((pooled, response)),
                 // The other side had closed the connection; nothing was written.
                 Err(SendError::Unsent) => {}
-                Err(SendError::Broken(e)) => return Err(broken(address, &e)),
+                Err(SendError::Broken(e)) => return Err(connection_lost(address, &e)),
             }
         }
-        let opened = HttpConnection::open(address, gateway.dial_plan(way.dial_limit)).await;
+        let opened = HttpConnection::open(address, gateway.dial_plan(destination.dial_limit)).await;
         let mut connection = opened.map_err(|e| {
             log::info!(address:% = address, error:% = e; "no connection");
             ExchangeFailure::Unreachable
         })?;
-        way.check_wanted(gateway)?;
-        match connection.send(make()).await {
+        destination.check_accepting(gateway)?;
+        match connection.send(build()).await {
             Ok(response) => Ok((connection, response)),
             Err(SendError::Unsent) => Err(ExchangeFailure::Unreachable),
-            Err(SendError::Broken(e)) => Err(broken(address, &e)),
+            Err(SendError::Broken(e)) => Err(connection_lost(address, &e)),
         }
     });
     exchanged.await.unwrap_or(Err(ExchangeFailure::TimedOut))
 }
 
-fn broken(address: SocketAddr, error: &hyper::Error) -> ExchangeFailure {
-    log::info!(address:% = address, error:% = error; "connection broke");
+fn connection_lost(address: SocketAddr, error: &hyper::Error) -> ExchangeFailure {
+    log::info!(address:% = address, error:% = error; "connection lost");
     ExchangeFailure::Broken
 }
 
-fn make_request(call: &CallContext, headers: HeaderMap) -> Request<Full<Bytes>> {
+fn build_request(call: &CallContext, headers: HeaderMap) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.target.clone();
@@ -382,11 +382,11 @@
     request
 }
 
-fn upstream(
+fn upstream_response(
     connection: HttpConnection,
     response: Response<Incoming>,
     address: SocketAddr,
-    booking: Option<OpenAttempt>,
+    attempt: Option<OpenAttempt>,
 ) -> UpstreamResponse {
     let (head, body) = response.into_parts();
     UpstreamResponse {
@@ -395,22 +395,22 @@
         body,
         connection,
         address,
-        booking,
+        attempt,
         events: 0,
-        copy: None,
+        backup: None,
     }
 }
 
 /// Drains the body of a rejection, so that its connection can be reused.
-async fn keep_after_refusal(
+async fn drain_rejection(
     gateway: &Gateway,
     address: SocketAddr,
     connection: HttpConnection,
     response: Response<Incoming>,
 ) {
     let (head, body) = response.into_parts();
-    let rest = Limited::new(body, REFUSAL_BODY_LIMIT).collect();
-    let read = tokio::time::timeout(REFUSAL_BODY_WAIT, rest).await;
+    let rest = Limited::new(body, MAX_REJECTION_BODY).collect();
+    let read = tokio::time::timeout(REJECTION_BODY_TIMEOUT, rest).await;
     if matches!(read, Ok(Ok(_))) {
         let limit = idle_limit(&head.headers);
         gateway.pool.put(address, connection, limit);
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -31,7 +31,7 @@
 use crate::settings::GatewaySettings;
 use crate::share::StoreShare;
 use crate::store::StoreLink;
-use crate::suspects::SharedBoard;
+use crate::suspects::SharedSuspects;
 
 /// Interval of the periodic check for changes that come with time alone. An unresponsive
 /// VM or server is detected up to this much later.
@@ -83,7 +83,7 @@
     /// Rollout phases as last logged.
     pub(crate) logged_phases: RefCell<BTreeMap<ServiceName, &'static str>>,
     /// Requests suspected of crashing servers.
-    pub(crate) suspects: SharedBoard,
+    pub(crate) suspects: SharedSuspects,
     pub(crate) pool: ConnectionPool,
     pub(crate) store: RefCell<StoreLink>,
     pub(crate) share: RefCell<StoreShare>,
@@ -174,7 +174,7 @@
             rollouts: RefCell::new(RolloutTable::new(place.region, unix_start)),
             rollout_known: Notify::new(),
             logged_phases: RefCell::default(),
-            suspects: SharedBoard::default(),
+            suspects: SharedSuspects::default(),
             pool: ConnectionPool::default(),
             store: RefCell::default(),
             share: RefCell::default(),
@@ -309,7 +309,7 @@
         };
         self.pass_on(base, &expired);
         self.apply_changes(expired);
-        self.pool.sweep();
+        self.pool.close_expired();
         let mut overlay = self.overlay.borrow_mut();
         let age = overlay.plan(now).knowledge_age();
         let roster = overlay.roster();
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -29,7 +29,7 @@
 const MAX_UNREACHED: u32 = 6;
 /// Responses up to this size are buffered whole before their head is sent to the caller,
 /// so that a response cut off by a lost connection can be replaced by a retry.
-const WHOLE_LIMIT: usize = 256 * 1024;
+const MAX_BUFFERED_BODY: usize = 256 * 1024;
 /// Retry delay sent to a caller when no better one is known.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(200);
 
@@ -51,7 +51,7 @@
     /// Number of events forwarded to the caller.
     pub(crate) events: u32,
     /// Whether the end of the request was logged.
-    pub(crate) is_told: bool,
+    pub(crate) is_end_logged: bool,
     /// Predicted times of the last attempt.
     pub(crate) predicted: TimePrediction,
     /// Age of the request when the last attempt was sent.
@@ -99,11 +99,11 @@
     loop {
         let end = match next_attempt(gateway, call, &mut progress, &HeaderMap::new()).await {
             Ok(end) => end,
-            Err(error) => return give_up(gateway, call, &progress, fallback, error),
+            Err(error) => return finish_unserved(gateway, call, &progress, fallback, error),
         };
         let AttemptEnd::Answer(answer) = end else {
-            if let Err(error) = note_failure(gateway, call, &mut progress, &end) {
-                return give_up(gateway, call, &progress, fallback, error);
+            if let Err(error) = record_failure(gateway, call, &mut progress, &end) {
+                return finish_unserved(gateway, call, &progress, fallback, error);
             }
             continue;
         };
@@ -119,14 +119,14 @@
                 return Ok(whole_reply(whole));
             }
             Some(whole) => {
-                progress.last_cause = "the server failed";
-                tell_failed_attempt(call, &progress);
+                progress.last_cause = "the server returned an error";
+                log_failed_attempt(call, &progress);
                 fallback = Some(whole);
             }
-            None => progress.last_cause = "the answer broke off",
+            None => progress.last_cause = "the connection was lost during the response",
         }
-        if let Err(error) = check_repeat(gateway, call, &progress) {
-            return give_up(gateway, call, &progress, fallback, error);
+        if let Err(error) = claim_retry(gateway, call, &progress) {
+            return finish_unserved(gateway, call, &progress, fallback, error);
         }
     }
 }
@@ -153,7 +153,7 @@
         set_last_event(&mut extra, event);
     }
     loop {
-        check_repeat(gateway, call, &progress).ok()?;
+        claim_retry(gateway, call, &progress).ok()?;
         let end = next_attempt(gateway, call, &mut progress, &extra)
             .await
             .ok()?;
@@ -174,7 +174,7 @@
                 progress.runs += 1;
                 answer.finish(gateway, AttemptResult::Failed);
             }
-            other => note_failure(gateway, call, &mut progress, &other).ok()?,
+            other => record_failure(gateway, call, &mut progress, &other).ok()?,
         }
     }
 }
@@ -197,7 +197,7 @@
             RouteStep::Later(pause) => tokio::time::sleep(pause).await,
             RouteStep::Refuse(error) => return Err(error),
             RouteStep::Server(target) => {
-                gateway.note_rate(call, progress);
+                gateway.record_rate(call, progress);
                 progress.servers.push(target.id);
                 progress.sent = call.age();
                 progress.predicted = target.predicted;
@@ -206,18 +206,18 @@
                 return Ok(try_server(gateway, call, &target, extra).await);
             }
             RouteStep::Peer(target) => {
-                gateway.note_rate(call, progress);
+                gateway.record_rate(call, progress);
                 progress.vms.push(target.vm.clone());
                 progress.sent = call.age();
                 progress.predicted = target.predicted;
                 progress.reason = target.reason.as_str();
                 progress.last_target = target.vm.to_string();
                 let end = try_peer(gateway, call, &target, extra).await;
-                let is_predicted = target.reason == PeerReason::Away;
+                let is_predicted = target.reason == PeerReason::Remote;
                 if matches!(end, AttemptEnd::Answer(_)) && is_predicted {
                     let took = call.age().saturating_sub(progress.sent);
-                    let mut away = gateway.remote_table.borrow_mut();
-                    away.note_first(&target.region, target.predicted.first, took);
+                    let mut table = gateway.remote_table.borrow_mut();
+                    table.note_first(&target.region, target.predicted.first, took);
                 }
                 return Ok(end);
             }
@@ -226,7 +226,7 @@
 }
 
 /// Records a failed attempt. Returns an error if the request may not be retried.
-fn note_failure(
+fn record_failure(
     gateway: &Gateway,
     call: &SharedCall,
     progress: &mut CallProgress,
@@ -245,11 +245,11 @@
             progress.runs += 1;
         }
     }
-    tell_failed_attempt(call, progress);
-    check_repeat(gateway, call, progress)
+    log_failed_attempt(call, progress);
+    claim_retry(gateway, call, progress)
 }
 
-fn tell_failed_attempt(call: &SharedCall, progress: &CallProgress) {
+fn log_failed_attempt(call: &SharedCall, progress: &CallProgress) {
     log::info!(
         request = call.request_id.as_str(),
         target = progress.last_target.as_str(),
@@ -261,7 +261,7 @@
 }
 
 /// Checks whether the request may be retried, and claims a retry from the budget.
-fn check_repeat(
+fn claim_retry(
     gateway: &Gateway,
     call: &SharedCall,
     progress: &CallProgress,
@@ -277,13 +277,19 @@
         Err(error)
     };
     if call.time_left().is_zero() {
-        return refuse(RefusalReason::Deadline, "the time of the request is over");
+        return refuse(
+            RefusalReason::Deadline,
+            "the deadline of the request has passed",
+        );
     }
     if verdict == RunVerdict::MayHaveRun && !call.rules.repeatable {
         return refuse(RefusalReason::Backend, progress.last_cause);
     }
-    let out_of_runs = progress.runs >= call.rules.max_attempts;
-    if out_of_runs || progress.arrivals >= MAX_ARRIVALS || progress.unreached >= MAX_UNREACHED {
+    let has_no_attempts_left = progress.runs >= call.rules.max_attempts;
+    if has_no_attempts_left
+        || progress.arrivals >= MAX_ARRIVALS
+        || progress.unreached >= MAX_UNREACHED
+    {
         return refuse(RefusalReason::Backend, progress.last_cause);
     }
     if progress.arrivals > 0 && !gateway.take_retry(&call.needs.service) {
@@ -300,7 +306,7 @@
     }
 }
 
-fn give_up(
+fn finish_unserved(
     gateway: &Gateway,
     call: &SharedCall,
     progress: &CallProgress,
@@ -324,8 +330,8 @@
     call: &SharedCall,
     mut answer: UpstreamResponse,
 ) -> Option<WholeAnswer> {
-    let reading = Limited::new(&mut answer.body, WHOLE_LIMIT).collect();
-    let read = within_deadline(gateway, call, reading).await;
+    let collecting = Limited::new(&mut answer.body, MAX_BUFFERED_BODY).collect();
+    let read = within_deadline(gateway, call, collecting).await;
     let Some(Ok(collected)) = read else {
         let result = if read.is_none() {
             AttemptResult::Unknown
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -31,12 +31,12 @@
 
 /// Splits a stream into whole events.
 #[derive(Debug, Default)]
-struct EventBuffer {
+struct EventSplitter {
     rest: BytesMut,
     last_id: Option<String>,
 }
 
-impl EventBuffer {
+impl EventSplitter {
     /// Adds bytes and returns the whole events that they complete.
     fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.rest.extend_from_slice(bytes);
@@ -101,14 +101,14 @@
     call: SharedCall,
     progress: CallProgress,
     state: RelayState,
-    buffer: Option<EventBuffer>,
+    buffer: Option<EventSplitter>,
     counter: EventCounter,
     /// Number of events forwarded, over all servers.
     events: u32,
     deadline: LocalBoxFuture<'static, ()>,
     /// Completes when the sending server becomes unresponsive; `None` if no other server
     /// could resume the stream.
-    silence: Option<LocalBoxFuture<'static, ()>>,
+    unresponsive: Option<LocalBoxFuture<'static, ()>>,
 }
 
 impl StreamRelay {
@@ -121,15 +121,15 @@
     ) -> Self {
         gateway.open_streams.set(gateway.open_streams.get() + 1);
         let resumable = call.rules.answer == ResponseRule::Resumable && answer.status.is_success();
-        let is_copied = answer.copy.is_some();
-        let can_go_on = resumable || is_copied;
+        let has_backup = answer.backup.is_some();
+        let can_resume = resumable || has_backup;
         Self {
-            silence: can_go_on.then(|| silence_of(gateway, &answer)).flatten(),
+            unresponsive: can_resume.then(|| watch_server(gateway, &answer)).flatten(),
             gateway: Rc::clone(gateway),
             call: Rc::clone(call),
             progress,
             state: RelayState::Open(answer),
-            buffer: can_go_on.then(EventBuffer::default),
+            buffer: can_resume.then(EventSplitter::default),
             counter: EventCounter::default(),
             events: 0,
             deadline: Box::pin(wait_for_deadline(Rc::clone(gateway), Rc::clone(call))),
@@ -148,13 +148,13 @@
         loop {
             let polled = match &mut self.state {
                 RelayState::Ended => return Poll::Ready(None),
-                RelayState::Resuming(going_on) => match going_on.as_mut().poll(cx) {
+                RelayState::Resuming(resuming) => match resuming.as_mut().poll(cx) {
                     Poll::Pending => return Poll::Pending,
                     Poll::Ready(Some(ResumedStream { answer, progress })) => {
                         self.progress = progress;
                         // A run continued from its backup has no further backup.
-                        self.silence = match self.call.rules.answer {
-                            ResponseRule::Resumable => silence_of(&self.gateway, &answer),
+                        self.unresponsive = match self.call.rules.answer {
+                            ResponseRule::Resumable => watch_server(&self.gateway, &answer),
                             _ => None,
                         };
                         self.state = RelayState::Open(answer);
@@ -168,7 +168,7 @@
                 RelayState::Open(answer) => Pin::new(&mut answer.body).poll_frame(cx),
             };
             match polled {
-                Poll::Pending if self.is_silent(cx) => {
+                Poll::Pending if self.is_unresponsive(cx) => {
                     if !self.try_resume() {
                         self.end(AttemptResult::Broken, "broken off");
                         return Poll::Ready(Some(Err(RelayError::Broken)));
@@ -176,7 +176,7 @@
                 }
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Some(Ok(frame))) => {
-                    if let Some(frame) = self.pass(frame) {
+                    if let Some(frame) = self.forward_frame(frame) {
                         return Poll::Ready(Some(Ok(frame)));
                     }
                 }
@@ -192,29 +192,29 @@
     }
 
     /// Whether the server has become unresponsive; polled while no data arrives.
-    fn is_silent(&mut self, cx: &mut Context<'_>) -> bool {
-        let has_last = self.buffer.as_ref().is_some_and(|b| b.last_id.is_some());
-        if self.call.rules.answer == ResponseRule::LostWithServer && !has_last {
+    fn is_unresponsive(&mut self, cx: &mut Context<'_>) -> bool {
+        let has_last_id = self.buffer.as_ref().is_some_and(|b| b.last_id.is_some());
+        if self.call.rules.answer == ResponseRule::LostWithServer && !has_last_id {
             return false;
         }
-        let Some(silence) = &mut self.silence else {
+        let Some(unresponsive) = &mut self.unresponsive else {
             return false;
         };
-        if silence.as_mut().poll(cx).is_pending() {
+        if unresponsive.as_mut().poll(cx).is_pending() {
             return false;
         }
-        self.silence = None;
+        self.unresponsive = None;
         true
     }
 
-    fn pass(&mut self, frame: Frame<Bytes>) -> Option<Frame<Bytes>> {
+    fn forward_frame(&mut self, frame: Frame<Bytes>) -> Option<Frame<Bytes>> {
         let data = frame.into_data().ok()?;
         let events = self.counter.count(&data);
         self.events += events;
         if let RelayState::Open(answer) = &mut self.state {
             answer.events += events;
-            if let Some(booking) = &answer.booking {
-                booking.note_sign();
+            if let Some(attempt) = &answer.attempt {
+                attempt.record_liveness();
             }
         }
         match &mut self.buffer {
@@ -244,18 +244,18 @@
             return false;
         };
         let mut answer = answer;
-        let copy = answer.copy.take();
+        let backup = answer.backup.take();
         answer.finish(&self.gateway, AttemptResult::Broken);
         let gateway = Rc::clone(&self.gateway);
         let call = Rc::clone(&self.call);
         if self.call.rules.answer == ResponseRule::LostWithServer {
-            let (Some(copy), Some(last)) = (copy, last) else {
+            let (Some(backup), Some(last)) = (backup, last) else {
                 return false;
             };
             self.progress.resumes += 1;
             let progress = self.progress.clone();
             self.state = RelayState::Resuming(Box::pin(async move {
-                let answer = continue_run(&gateway, &call, copy, &last).await?;
+                let answer = continue_run(&gateway, &call, backup, &last).await?;
                 Some(ResumedStream { answer, progress })
             }));
             return true;
@@ -274,8 +274,8 @@
         if let RelayState::Open(answer) = state {
             answer.finish(&self.gateway, result);
         }
-        if !self.progress.is_told {
-            self.progress.is_told = true;
+        if !self.progress.is_end_logged {
+            self.progress.is_end_logged = true;
             self.progress.events = self.events;
             self.gateway.tell_end(&self.call, &self.progress, outcome);
         }
@@ -284,11 +284,11 @@
 
 /// Completes when the server of `answer` becomes unresponsive. `None` if the response comes
 /// from another VM.
-fn silence_of(
+fn watch_server(
     gateway: &Rc<Gateway>,
     answer: &UpstreamResponse,
 ) -> Option<LocalBoxFuture<'static, ()>> {
-    let server = answer.booking.as_ref()?.server();
+    let server = answer.attempt.as_ref()?.server();
     Some(Box::pin(wait_for_silence(Rc::clone(gateway), server)))
 }
 
