--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -82,7 +82,7 @@
 /// Result of an attempt.
 pub(crate) enum AttemptEnd {
     /// The head of a response was received.
-    Answer(Box<UpstreamResponse>),
+    Response(Box<UpstreamResponse>),
     /// The request did not run and will not.
     NotRun {
         /// Whether the request reached a server.
@@ -165,9 +165,10 @@
     match kind {
         ResponseKind::Signed => {
             attempt.record_first_byte();
-            let mut answer = upstream_response(connection, response, target.address, Some(attempt));
-            answer.backup = backup;
-            AttemptEnd::Answer(Box::new(answer))
+            let mut upstream =
+                upstream_response(connection, response, target.address, Some(attempt));
+            upstream.backup = backup;
+            AttemptEnd::Response(Box::new(upstream))
         }
         ResponseKind::NotRun => {
             attempt.finish(AttemptResult::Shed);
@@ -233,7 +234,7 @@
         };
     }
     match read_answer(response.status(), response.headers(), &call.request_id) {
-        ResponseKind::Signed => AttemptEnd::Answer(Box::new(upstream_response(
+        ResponseKind::Signed => AttemptEnd::Response(Box::new(upstream_response(
             connection,
             response,
             target.address,
--- a/crates/gateway/src/backup.rs
+++ b/crates/gateway/src/backup.rs
@@ -44,7 +44,7 @@
         call: &SharedCall,
         target: &ServerTarget,
     ) -> Option<RunBackup> {
-        if call.rules.answer != ResponseRule::LostWithServer {
+        if call.rules.response != ResponseRule::LostWithServer {
             return None;
         }
         let copied_gb = self.settings().costs.copied_gb;
@@ -100,7 +100,7 @@
     set_copy_from(&mut extra, backup.source, &call.request_id);
     let end = try_server(gateway, call, &target, &extra).await;
     let cause = match end {
-        AttemptEnd::Answer(answer) if answer.status.is_success() => {
+        AttemptEnd::Response(response) if response.status.is_success() => {
             gateway.metrics.count("onyxfall_runs_continued_total");
             log::info!(
                 request = call.request_id.as_str(),
@@ -108,9 +108,9 @@
                 target = target.name.as_str();
                 "run continued from its backup"
             );
-            return Some(answer);
+            return Some(response);
         }
-        AttemptEnd::Answer(_) => "the server returned an error",
+        AttemptEnd::Response(_) => "the server returned an error",
         AttemptEnd::NotRun { cause, .. } | AttemptEnd::Lost { cause } => cause,
     };
     gateway.metrics.count("onyxfall_runs_not_continued_total");
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -47,7 +47,7 @@
     /// Whether the request may be sent again after it may have run.
     pub(crate) repeatable: bool,
     /// Form of the response, and how it is resumed after a lost connection.
-    pub(crate) answer: ResponseRule,
+    pub(crate) response: ResponseRule,
     /// Most servers that may run the request.
     pub(crate) max_attempts: u32,
 }
--- a/crates/gateway/src/listen.rs
+++ b/crates/gateway/src/listen.rs
@@ -278,7 +278,7 @@
         version: table.version(),
         rules: CallRules {
             repeatable: rule.is_repeatable(),
-            answer: response_rule(rule),
+            response: response_rule(rule),
             max_attempts: rule.max_attempts,
         },
         needs,
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -98,7 +98,7 @@
     if let Some(team) = &call.team {
         set(headers, TEAM, team.as_str());
     }
-    match call.rules.answer {
+    match call.rules.response {
         ResponseRule::Whole => {}
         ResponseRule::LostWithServer => set(headers, STREAM, ONCE),
         ResponseRule::Resumable | ResponseRule::ResumedBySender => set(headers, STREAM, RESUMABLE),
@@ -182,7 +182,7 @@
         rules: CallRules {
             // Only the forwarding VM retries.
             repeatable: false,
-            answer: match text(STREAM) {
+            response: match text(STREAM) {
                 None => ResponseRule::Whole,
                 Some(ONCE) => ResponseRule::LostWithServer,
                 Some(_) => ResponseRule::ResumedBySender,
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -67,7 +67,7 @@
 }
 
 /// A response that was received whole.
-struct WholeAnswer {
+struct WholeResponse {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
@@ -95,13 +95,13 @@
     call: &SharedCall,
 ) -> Result<Response<ReplyBody>, CallFailure> {
     let mut progress = CallProgress::default();
-    let mut fallback: Option<WholeAnswer> = None;
+    let mut fallback: Option<WholeResponse> = None;
     loop {
         let end = match next_attempt(gateway, call, &mut progress, &HeaderMap::new()).await {
             Ok(end) => end,
             Err(error) => return finish_unserved(gateway, call, &progress, fallback, error),
         };
-        let AttemptEnd::Answer(answer) = end else {
+        let AttemptEnd::Response(response) = end else {
             if let Err(error) = record_failure(gateway, call, &mut progress, &end) {
                 return finish_unserved(gateway, call, &progress, fallback, error);
             }
@@ -110,10 +110,10 @@
         progress.arrivals += 1;
         progress.runs += 1;
         progress.first_byte = call.age();
-        if call.rules.answer.is_stream() && answer.status.is_success() {
-            return Ok(stream_reply(gateway, call, progress, answer));
+        if call.rules.response.is_stream() && response.status.is_success() {
+            return Ok(stream_reply(gateway, call, progress, response));
         }
-        match read_whole(gateway, call, *answer).await {
+        match read_whole(gateway, call, *response).await {
             Some(whole) if !whole.status.is_server_error() => {
                 gateway.tell_end(call, &progress, "served");
                 return Ok(whole_reply(whole));
@@ -134,7 +134,7 @@
 /// A stream resumed by another server.
 pub(crate) struct ResumedStream {
     /// Response of that server.
-    pub(crate) answer: Box<UpstreamResponse>,
+    pub(crate) response: Box<UpstreamResponse>,
     /// Attempts of the request so far, including this one.
     pub(crate) progress: CallProgress,
 }
@@ -158,7 +158,7 @@
             .await
             .ok()?;
         match end {
-            AttemptEnd::Answer(answer) if answer.status.is_success() => {
+            AttemptEnd::Response(response) if response.status.is_success() => {
                 log::info!(
                     request = call.request_id.as_str(),
                     after = last_event.as_deref().unwrap_or("start"),
@@ -167,12 +167,12 @@
                 );
                 progress.arrivals += 1;
                 progress.runs += 1;
-                return Some(ResumedStream { answer, progress });
+                return Some(ResumedStream { response, progress });
             }
-            AttemptEnd::Answer(answer) => {
+            AttemptEnd::Response(response) => {
                 progress.arrivals += 1;
                 progress.runs += 1;
-                answer.finish(gateway, AttemptResult::Failed);
+                response.finish(gateway, AttemptResult::Failed);
             }
             other => record_failure(gateway, call, &mut progress, &other).ok()?,
         }
@@ -214,7 +214,7 @@
                 progress.last_target = target.vm.to_string();
                 let end = try_peer(gateway, call, &target, extra).await;
                 let is_predicted = target.reason == PeerReason::Remote;
-                if matches!(end, AttemptEnd::Answer(_)) && is_predicted {
+                if matches!(end, AttemptEnd::Response(_)) && is_predicted {
                     let took = call.age().saturating_sub(progress.sent);
                     let mut table = gateway.remote_table.borrow_mut();
                     table.note_first(&target.region, target.predicted.first, took);
@@ -233,7 +233,7 @@
     end: &AttemptEnd,
 ) -> Result<(), RequestError> {
     match end {
-        AttemptEnd::Answer(_) => return Ok(()),
+        AttemptEnd::Response(_) => return Ok(()),
         AttemptEnd::NotRun { arrived, cause } => {
             progress.last_cause = cause;
             progress.arrivals += u32::from(*arrived);
@@ -267,7 +267,7 @@
     progress: &CallProgress,
 ) -> Result<(), RequestError> {
     let verdict = verdict_of(progress);
-    let refuse = |reason, detail: &str| {
+    let reject = |reason, detail: &str| {
         let error = RequestError {
             verdict,
             reason,
@@ -277,23 +277,23 @@
         Err(error)
     };
     if call.time_left().is_zero() {
-        return refuse(
+        return reject(
             RefusalReason::Deadline,
             "the deadline of the request has passed",
         );
     }
     if verdict == RunVerdict::MayHaveRun && !call.rules.repeatable {
-        return refuse(RefusalReason::Backend, progress.last_cause);
+        return reject(RefusalReason::Backend, progress.last_cause);
     }
     let has_no_attempts_left = progress.runs >= call.rules.max_attempts;
     if has_no_attempts_left
         || progress.arrivals >= MAX_ARRIVALS
         || progress.unreached >= MAX_UNREACHED
     {
-        return refuse(RefusalReason::Backend, progress.last_cause);
+        return reject(RefusalReason::Backend, progress.last_cause);
     }
     if progress.arrivals > 0 && !gateway.take_retry(&call.needs.service) {
-        return refuse(RefusalReason::Backend, "the retry budget is used up");
+        return reject(RefusalReason::Backend, "the retry budget is used up");
     }
     Ok(())
 }
@@ -310,7 +310,7 @@
     gateway: &Gateway,
     call: &SharedCall,
     progress: &CallProgress,
-    fallback: Option<WholeAnswer>,
+    fallback: Option<WholeResponse>,
     mut error: RequestError,
 ) -> Result<Response<ReplyBody>, CallFailure> {
     if let Some(whole) = fallback {
@@ -328,9 +328,9 @@
 async fn read_whole(
     gateway: &Gateway,
     call: &SharedCall,
-    mut answer: UpstreamResponse,
-) -> Option<WholeAnswer> {
-    let collecting = Limited::new(&mut answer.body, MAX_BUFFERED_BODY).collect();
+    mut response: UpstreamResponse,
+) -> Option<WholeResponse> {
+    let collecting = Limited::new(&mut response.body, MAX_BUFFERED_BODY).collect();
     let read = within_deadline(gateway, call, collecting).await;
     let Some(Ok(collected)) = read else {
         let result = if read.is_none() {
@@ -338,12 +338,12 @@
         } else {
             AttemptResult::Broken
         };
-        answer.finish(gateway, result);
+        response.finish(gateway, result);
         return None;
     };
-    let whole = WholeAnswer {
-        status: answer.status,
-        headers: answer_headers(&answer.headers),
+    let whole = WholeResponse {
+        status: response.status,
+        headers: answer_headers(&response.headers),
         body: collected.to_bytes(),
     };
     let result = if whole.status.is_server_error() {
@@ -351,11 +351,11 @@
     } else {
         AttemptResult::Succeeded
     };
-    answer.finish(gateway, result);
+    response.finish(gateway, result);
     Some(whole)
 }
 
-fn whole_reply(whole: WholeAnswer) -> Response<ReplyBody> {
+fn whole_reply(whole: WholeResponse) -> Response<ReplyBody> {
     let mut response = Response::new(ReplyBody::whole(whole.body));
     *response.status_mut() = whole.status;
     *response.headers_mut() = whole.headers;
@@ -366,10 +366,10 @@
     gateway: &Rc<Gateway>,
     call: &SharedCall,
     progress: CallProgress,
-    answer: Box<UpstreamResponse>,
+    response: Box<UpstreamResponse>,
 ) -> Response<ReplyBody> {
-    let (status, headers) = (answer.status, answer_headers(&answer.headers));
-    let relay = StreamRelay::new(gateway, call, progress, answer);
+    let (status, headers) = (response.status, answer_headers(&response.headers));
+    let relay = StreamRelay::new(gateway, call, progress, response);
     let mut response = Response::new(ReplyBody::Stream(Box::new(relay)));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -32,19 +32,19 @@
 /// Splits a stream into whole events.
 #[derive(Debug, Default)]
 struct EventSplitter {
-    rest: BytesMut,
+    incomplete: BytesMut,
     last_id: Option<String>,
 }
 
 impl EventSplitter {
     /// Adds bytes and returns the whole events that they complete.
     fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
-        self.rest.extend_from_slice(bytes);
+        self.incomplete.extend_from_slice(bytes);
         let end = self
-            .rest
+            .incomplete
             .windows(EVENT_END.len())
             .rposition(|window| window == EVENT_END)?;
-        let whole = self.rest.split_to(end + EVENT_END.len()).freeze();
+        let whole = self.incomplete.split_to(end + EVENT_END.len()).freeze();
         if let Some(id) = last_event_id(&whole) {
             self.last_id = Some(id);
         }
@@ -112,23 +112,26 @@
 }
 
 impl StreamRelay {
-    /// Starts forwarding the body of `answer`.
+    /// Starts forwarding the body of `response`.
     pub(crate) fn new(
         gateway: &Rc<Gateway>,
         call: &SharedCall,
         progress: CallProgress,
-        answer: Box<UpstreamResponse>,
+        response: Box<UpstreamResponse>,
     ) -> Self {
         gateway.open_streams.set(gateway.open_streams.get() + 1);
-        let resumable = call.rules.answer == ResponseRule::Resumable && answer.status.is_success();
-        let has_backup = answer.backup.is_some();
+        let resumable =
+            call.rules.response == ResponseRule::Resumable && response.status.is_success();
+        let has_backup = response.backup.is_some();
         let can_resume = resumable || has_backup;
         Self {
-            unresponsive: can_resume.then(|| watch_server(gateway, &answer)).flatten(),
+            unresponsive: can_resume
+                .then(|| watch_server(gateway, &response))
+                .flatten(),
             gateway: Rc::clone(gateway),
             call: Rc::clone(call),
             progress,
-            state: RelayState::Open(answer),
+            state: RelayState::Open(response),
             buffer: can_resume.then(EventSplitter::default),
             counter: EventCounter::default(),
             events: 0,
@@ -150,14 +153,14 @@
                 RelayState::Ended => return Poll::Ready(None),
                 RelayState::Resuming(resuming) => match resuming.as_mut().poll(cx) {
                     Poll::Pending => return Poll::Pending,
-                    Poll::Ready(Some(ResumedStream { answer, progress })) => {
+                    Poll::Ready(Some(ResumedStream { response, progress })) => {
                         self.progress = progress;
                         // A run continued from its backup has no further backup.
-                        self.unresponsive = match self.call.rules.answer {
-                            ResponseRule::Resumable => watch_server(&self.gateway, &answer),
+                        self.unresponsive = match self.call.rules.response {
+                            ResponseRule::Resumable => watch_server(&self.gateway, &response),
                             _ => None,
                         };
-                        self.state = RelayState::Open(answer);
+                        self.state = RelayState::Open(response);
                         continue;
                     }
                     Poll::Ready(None) => {
@@ -165,7 +168,7 @@
                         return Poll::Ready(Some(Err(RelayError::Broken)));
                     }
                 },
-                RelayState::Open(answer) => Pin::new(&mut answer.body).poll_frame(cx),
+                RelayState::Open(response) => Pin::new(&mut response.body).poll_frame(cx),
             };
             match polled {
                 Poll::Pending if self.is_unresponsive(cx) => {
@@ -194,7 +197,7 @@
     /// Whether the server has become unresponsive; polled while no data arrives.
     fn is_unresponsive(&mut self, cx: &mut Context<'_>) -> bool {
         let has_last_id = self.buffer.as_ref().is_some_and(|b| b.last_id.is_some());
-        if self.call.rules.answer == ResponseRule::LostWithServer && !has_last_id {
+        if self.call.rules.response == ResponseRule::LostWithServer && !has_last_id {
             return false;
         }
         let Some(unresponsive) = &mut self.unresponsive else {
@@ -211,9 +214,9 @@
         let data = frame.into_data().ok()?;
         let events = self.counter.count(&data);
         self.events += events;
-        if let RelayState::Open(answer) = &mut self.state {
-            answer.events += events;
-            if let Some(attempt) = &answer.attempt {
+        if let RelayState::Open(response) = &mut self.state {
+            response.events += events;
+            if let Some(attempt) = &response.attempt {
                 attempt.record_liveness();
             }
         }
@@ -229,34 +232,38 @@
         self.gateway
             .note_length(&call.route, &call.needs.prompt, self.events);
         self.end(AttemptResult::Succeeded, "served");
-        let rest = self.buffer.take().map(|buffer| buffer.rest.freeze())?;
-        (!rest.is_empty()).then(|| Ok(Frame::data(rest)))
+        let remainder = self
+            .buffer
+            .take()
+            .map(|buffer| buffer.incomplete.freeze())?;
+        (!remainder.is_empty()).then(|| Ok(Frame::data(remainder)))
     }
 
     fn try_resume(&mut self) -> bool {
         let Some(buffer) = &mut self.buffer else {
             return false;
         };
-        buffer.rest.clear();
+        buffer.incomplete.clear();
         self.counter = EventCounter::default();
         let last = buffer.last_id.clone();
-        let RelayState::Open(answer) = std::mem::replace(&mut self.state, RelayState::Ended) else {
+        let RelayState::Open(response) = std::mem::replace(&mut self.state, RelayState::Ended)
+        else {
             return false;
         };
-        let mut answer = answer;
-        let backup = answer.backup.take();
-        answer.finish(&self.gateway, AttemptResult::Broken);
+        let mut response = response;
+        let backup = response.backup.take();
+        response.finish(&self.gateway, AttemptResult::Broken);
         let gateway = Rc::clone(&self.gateway);
         let call = Rc::clone(&self.call);
-        if self.call.rules.answer == ResponseRule::LostWithServer {
+        if self.call.rules.response == ResponseRule::LostWithServer {
             let (Some(backup), Some(last)) = (backup, last) else {
                 return false;
             };
             self.progress.resumes += 1;
             let progress = self.progress.clone();
             self.state = RelayState::Resuming(Box::pin(async move {
-                let answer = continue_run(&gateway, &call, backup, &last).await?;
-                Some(ResumedStream { answer, progress })
+                let response = continue_run(&gateway, &call, backup, &last).await?;
+                Some(ResumedStream { response, progress })
             }));
             return true;
         }
@@ -271,8 +278,8 @@
 
     fn end(&mut self, result: AttemptResult, outcome: &'static str) {
         let state = std::mem::replace(&mut self.state, RelayState::Ended);
-        if let RelayState::Open(answer) = state {
-            answer.finish(&self.gateway, result);
+        if let RelayState::Open(response) = state {
+            response.finish(&self.gateway, result);
         }
         if !self.progress.is_end_logged {
             self.progress.is_end_logged = true;
@@ -282,13 +289,13 @@
     }
 }
 
-/// Completes when the server of `answer` becomes unresponsive. `None` if the response comes
+/// Completes when the server of `response` becomes unresponsive. `None` if the response comes
 /// from another VM.
 fn watch_server(
     gateway: &Rc<Gateway>,
-    answer: &UpstreamResponse,
+    response: &UpstreamResponse,
 ) -> Option<LocalBoxFuture<'static, ()>> {
-    let server = answer.attempt.as_ref()?.server();
+    let server = response.attempt.as_ref()?.server();
     Some(Box::pin(wait_for_silence(Rc::clone(gateway), server)))
 }
 
--- a/crates/gateway/src/teams.rs
+++ b/crates/gateway/src/teams.rs
@@ -43,13 +43,13 @@
     let Some(teams) = table.teams().filter(|_| !rule.is_public) else {
         return Ok(None);
     };
-    let refuse = |detail| Err(RequestError::not_run(RefusalReason::Unauthorized, detail));
+    let reject = |detail| Err(RequestError::not_run(RefusalReason::Unauthorized, detail));
     match credential {
-        CallerCredential::Missing => refuse("the request lacks an API key"),
-        CallerCredential::Malformed => refuse("the credential is not a single bearer key"),
+        CallerCredential::Missing => reject("the request lacks an API key"),
+        CallerCredential::Malformed => reject("the credential is not a single bearer key"),
         CallerCredential::Key(key) => match teams.holder(&key) {
             Some(team) => Ok(Some(team)),
-            None => refuse("the API key belongs to no team"),
+            None => reject("the API key belongs to no team"),
         },
     }
 }
