--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -270,7 +270,7 @@
     Unreachable,
     Broken,
     TimedOut,
-    /// The server is unresponsive to all VMs.
+    /// All VMs treat the server as unresponsive, or it has restarted.
     Unresponsive,
     /// The server has asked for no work since it was chosen.
     Declined,
--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -257,9 +257,9 @@
         RouteStep::Refuse(overloaded(detail, after))
     }
 
-    /// Waits if a server's backoff ends soon enough for the request. Otherwise rejects the
-    /// request at once with a retry delay up to the end of the first backoff, since nothing
-    /// else can make a server usable.
+    /// Waits if a server accepts requests again, in `left`, soon enough for the request.
+    /// Otherwise rejects the request at once with a retry delay of `left` and a random
+    /// spread, since no earlier chance is known.
     pub(crate) fn wait_for_backoff(&self, call: &CallContext, left: Duration) -> RouteStep {
         let patience = call.needs.goal.mul_f64(PATIENCE_SHARE);
         if call.age() + left.max(RECHECK_INTERVAL) < patience {
@@ -268,7 +268,7 @@
         let spread = left.mul_f64(BACKOFF_SPREAD_SHARE).max(MIN_BACKOFF_SPREAD);
         let part = self.rng.borrow_mut().random::<f64>();
         let after = left.max(RETRY_AFTER_RANGE.0) + spread.mul_f64(part);
-        let detail = "every server has asked this VM to back off";
+        let detail = "every server is in backoff or at its limit";
         let error = RequestError::not_run(RefusalReason::Overloaded, detail);
         RouteStep::Refuse(error.with_retry_after(after))
     }
--- a/crates/gateway/src/open.rs
+++ b/crates/gateway/src/open.rs
@@ -21,7 +21,7 @@
     id: u64,
     started: Moment,
     /// Whether the attempt runs the request from its start. The rest of a resumed stream may
-    /// succeed although its server would crash under the whole request.
+    /// complete before the server crashes under it.
     is_from_start: bool,
     is_finished: bool,
     /// Slowdown of the first byte against the usual time.
