--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -25,8 +25,8 @@
 use crate::open::OpenAttempt;
 use crate::pool::ConnectionChoice;
 use crate::relay::{PeerTarget, read_verdict, set_relay_headers};
-use crate::silence::{wait_for_replacement, wait_for_silence};
 use crate::suspension::within_deadline;
+use crate::unresponsive::{wait_for_replacement, wait_until_unresponsive};
 
 /// Largest body of a refusal that is read so that its connection can be kept.
 const REFUSAL_BODY_LIMIT: usize = 64 * 1024;
@@ -141,7 +141,7 @@
     let exchanged = if call.rules.repeatable {
         tokio::select! {
             exchanged = exchanged => exchanged,
-            () = wait_for_silence(Rc::clone(gateway), target.id) => Err(ExchangeFailure::Silent),
+            () = wait_until_unresponsive(Rc::clone(gateway), target.id) => Err(ExchangeFailure::Silent),
         }
     } else {
         tokio::select! {
@@ -182,7 +182,7 @@
         }
         ResponseKind::WrongServer => {
             booking.finish(AttemptResult::Unknown);
-            gateway.note_replaced(&target.name);
+            gateway.record_replaced(&target.name);
             AttemptEnd::NotRun {
                 arrived: true,
                 cause: "another server has the address",
--- a/crates/gateway/src/costs.rs
+++ b/crates/gateway/src/costs.rs
@@ -105,7 +105,7 @@
     }
 
     /// Takes a whole answer of `events`.
-    pub(crate) fn note_length(&self, route: &str, prompt: &PromptSize, events: u32) {
+    pub(crate) fn record_response_length(&self, route: &str, prompt: &PromptSize, events: u32) {
         let mut lengths = self.lengths.borrow_mut();
         lengths.learn(route, prompt.likely_output(), events);
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -22,9 +22,8 @@
 use rand::rngs::StdRng;
 use tokio::sync::Notify;
 
-use crate::asking::WorkQueries;
 use crate::connection::DialPlan;
-use crate::copies::{IncomingCopy, MadeParts};
+use crate::copies::{CachedParts, IncomingCopy};
 use crate::metrics::GatewayMetrics;
 use crate::pool::ConnectionPool;
 use crate::relays::RelayTable;
@@ -32,6 +31,7 @@
 use crate::share::StoreShare;
 use crate::store::StoreLink;
 use crate::suspects::SharedBoard;
+use crate::work_queries::WorkQueries;
 
 /// Look at what has changed by time alone: silence is noticed this much later.
 const TICK: Duration = Duration::from_millis(100);
@@ -88,7 +88,7 @@
     /// The order in which VMs watch the store, and the roster's changes that it is of.
     pub(crate) watch_order: RefCell<Option<(u64, Rc<[VmName]>)>>,
     /// This VM's copy of the store, cut into parts for others.
-    pub(crate) made_parts: RefCell<MadeParts>,
+    pub(crate) cached_parts: RefCell<CachedParts>,
     /// A copy of the store that another VM is giving to this one.
     pub(crate) incoming_copy: RefCell<Option<IncomingCopy>>,
     pub(crate) metrics: GatewayMetrics,
@@ -176,7 +176,7 @@
             store: RefCell::default(),
             share: RefCell::default(),
             watch_order: RefCell::default(),
-            made_parts: RefCell::default(),
+            cached_parts: RefCell::default(),
             incoming_copy: RefCell::default(),
             metrics: GatewayMetrics::default(),
             stop_asked: Cell::new(None),
@@ -290,11 +290,11 @@
 
     /// Lets time count: silent VMs, missing items, idle connections.
     fn tick(&self) {
-        self.look_for_suspension(BootInstant::now());
+        self.check_suspension(BootInstant::now());
         let now = self.now();
         self.overlay.borrow_mut().tick(now);
         self.apply_work(now);
-        self.refresh_silence(now);
+        self.refresh_unresponsive(now);
         self.tell_changes();
         self.refresh_status();
         self.refresh_quota_peers(now);
--- a/crates/gateway/src/listen.rs
+++ b/crates/gateway/src/listen.rs
@@ -180,7 +180,7 @@
 
 async fn handle_caller(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<ReplyBody> {
     let arrived = BootInstant::now();
-    gateway.look_for_suspension(arrived);
+    gateway.check_suspension(arrived);
     let head = read_call(request.headers());
     let request_id = head.as_ref().map(|head| head.request_id.clone());
     let result = match read_request(&gateway, request, head, arrived).await {
--- a/crates/gateway/src/open.rs
+++ b/crates/gateway/src/open.rs
@@ -129,7 +129,7 @@
         let ratio = self.ratio.get();
         let ratio = ratio.map(|ratio| ratio.max(pace.unwrap_or_default()));
         self.gateway
-            .note_outcome(&self.call, self.server, result, ratio);
+            .record_outcome(&self.call, self.server, result, ratio);
     }
 }
 
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -103,7 +103,7 @@
 
     /// Counts how an attempt at a server ended. `ratio` is how many times slower than
     /// usual its answer was.
-    pub(crate) fn note_outcome(
+    pub(crate) fn record_outcome(
         &self,
         call: &CallContext,
         server: ServerId,
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -115,7 +115,7 @@
         }
         match read_whole(gateway, call, *answer).await {
             Some(whole) if !whole.status.is_server_error() => {
-                gateway.tell_end(call, &progress, "served");
+                gateway.log_request_end(call, &progress, "served");
                 return Ok(whole_reply(whole));
             }
             Some(whole) => {
@@ -187,11 +187,11 @@
     extra: &HeaderMap,
 ) -> Result<AttemptEnd, RequestError> {
     loop {
-        gateway.hear_before_choice().await;
+        gateway.query_before_choice().await;
         let step = gateway.decide(call, progress);
         // A request that is held looks again every few milliseconds, and has changed nothing.
         if !matches!(step, RouteStep::Later(_)) {
-            gateway.note_own_change();
+            gateway.record_own_change();
         }
         match step {
             RouteStep::Later(pause) => tokio::time::sleep(pause).await,
@@ -308,11 +308,11 @@
     mut error: RequestError,
 ) -> Result<Response<ReplyBody>, CallFailure> {
     if let Some(whole) = fallback {
-        gateway.tell_end(call, progress, "the server's failure");
+        gateway.log_request_end(call, progress, "the server's failure");
         return Ok(whole_reply(whole));
     }
     error.verdict = error.verdict.max(verdict_of(progress));
-    gateway.tell_refusal(call, progress, &error);
+    gateway.log_refusal(call, progress, &error);
     Err(CallFailure {
         error,
         arrivals: progress.arrivals,
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/store_changes.rs
@@ -13,7 +13,7 @@
 
 impl Gateway {
     /// Notes that another life of a server has its address.
-    pub(crate) fn note_replaced(&self, server: &str) {
+    pub(crate) fn record_replaced(&self, server: &str) {
         log::info!(server; "another server has the address");
         self.fleet.borrow_mut().remove_server(self.now(), server);
     }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -20,8 +20,8 @@
 use crate::call::{ResponseRule, SharedCall};
 use crate::gateway::Gateway;
 use crate::serve::{CallProgress, ResumedStream, resume};
-use crate::silence::wait_for_silence;
 use crate::suspension::wait_for_deadline;
+use crate::unresponsive::wait_until_unresponsive;
 
 /// End of an event in a stream.
 const EVENT_END: &[u8] = b"\n\n";
@@ -225,7 +225,7 @@
     fn complete(&mut self) -> Option<Result<Frame<Bytes>, RelayError>> {
         let call = &self.call;
         self.gateway
-            .note_length(&call.route, &call.needs.prompt, self.events);
+            .record_response_length(&call.route, &call.needs.prompt, self.events);
         self.end(AttemptResult::Succeeded, "served");
         let rest = self.buffer.take().map(|buffer| buffer.rest.freeze())?;
         (!rest.is_empty()).then(|| Ok(Frame::data(rest)))
@@ -275,7 +275,8 @@
         if !self.progress.is_told {
             self.progress.is_told = true;
             self.progress.events = self.events;
-            self.gateway.tell_end(&self.call, &self.progress, outcome);
+            self.gateway
+                .log_request_end(&self.call, &self.progress, outcome);
         }
     }
 }
@@ -287,7 +288,10 @@
     answer: &UpstreamResponse,
 ) -> Option<LocalBoxFuture<'static, ()>> {
     let server = answer.booking.as_ref()?.server();
-    Some(Box::pin(wait_for_silence(Rc::clone(gateway), server)))
+    Some(Box::pin(wait_until_unresponsive(
+        Rc::clone(gateway),
+        server,
+    )))
 }
 
 impl Drop for StreamRelay {
--- a/crates/gateway/src/asking.rs
+++ b/crates/gateway/src/work_queries.rs
@@ -40,7 +40,7 @@
 
 impl Gateway {
     /// Notes that this VM has begun or ended a request.
-    pub(crate) fn note_own_change(&self) {
+    pub(crate) fn record_own_change(&self) {
         self.asks.own_changed.notify_one();
         self.asks.changed.notify_waiters();
     }
@@ -54,7 +54,7 @@
 
     /// Hears what others have under way, where this VM reports to an aggregator and was
     /// told long ago.
-    pub(crate) async fn hear_before_choice(&self) {
+    pub(crate) async fn query_before_choice(&self) {
         let now = self.now();
         let is_fresh = self.asks.told.get().is_some_and(|told| now - told < FRESH);
         if is_fresh || !self.is_on(DecisionSwitch::NearHeartbeats) || !self.is_member() {
