--- a/crates/gateway/src/work_queries.rs
+++ b/crates/gateway/src/work_queries.rs
@@ -1,12 +1,12 @@
-//! When a member of an aggregator hears what other VMs have under way.
+//! When a member of an aggregator receives the pending work of other VMs.
 //!
-//! What is told at a fixed pace is old at most moments at which it is needed, and told in
-//! vain at most others. So a member reports when its own work has changed, its aggregator
-//! tells it at a slow pace while anything changes, and a member that is about to choose a
-//! server asks first, over a link inside its data centre.
+//! Work that is sent at a fixed interval is outdated most times that it is needed, and sent in
+//! vain at most other times. So a member reports when its own work has changed, its aggregator
+//! sends digests at a long interval while anything changes, and a member that is about to
+//! choose a server first queries its aggregator, over a link inside the data centre.
 //!
-//! Invariant: a choice waits for an answer only once; an aggregator that does not answer is
-//! not waited for until it has told something.
+//! Invariant: a choice waits for a reply only once. After an aggregator has failed to reply, no
+//! choice waits for it until it has sent a digest.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -17,60 +17,65 @@
 
 use crate::gateway::Gateway;
 
-/// Age from which what was told is asked for anew: work that lasts for some tenths of a
-/// second has hardly changed before.
-const FRESH: Duration = Duration::from_millis(60);
-/// How long a choice waits for the answer: a round trip inside a data centre takes some
-/// tenths of a millisecond.
-const ASK_WAIT: Duration = Duration::from_millis(3);
+/// Age from which a digest is outdated and is queried again: work whose requests take a few
+/// tenths of a second has hardly changed before.
+const FRESH_FOR: Duration = Duration::from_millis(60);
+/// How long a choice waits for the reply: a round trip inside a data centre takes a few tenths
+/// of a millisecond.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(3);
 
-/// What wakes the links of a member and of its aggregator, and when it was told last.
+/// Notifications for the links between a member and its aggregator, and the times of the last
+/// digest and query.
 #[derive(Debug, Default)]
 pub(crate) struct WorkQueries {
-    told: Cell<Option<Moment>>,
-    asked: Cell<Option<Moment>>,
+    digest_at: Cell<Option<Moment>>,
+    queried_at: Cell<Option<Moment>>,
     answered: Notify,
-    /// Wakes the link on which this VM reports, to ask.
-    pub(crate) ask_now: Notify,
-    /// Wakes the same when this VM's own work has changed.
+    /// Wakes the link on which this VM reports, to send a query.
+    pub(crate) query_now: Notify,
+    /// Wakes the same link when this VM's own work has changed.
     pub(crate) own_changed: Notify,
-    /// Wakes the links to members when anybody's work has changed.
+    /// Wakes the links to members when any VM's work has changed.
     pub(crate) changed: Notify,
 }
 
 impl Gateway {
-    /// Notes that this VM has begun or ended a request.
+    /// Records that this VM has started or finished a request.
     pub(crate) fn record_own_change(&self) {
         self.asks.own_changed.notify_one();
         self.asks.changed.notify_waiters();
     }
 
-    /// Notes that an aggregator has told its sum.
-    pub(crate) fn note_digest(&self) {
-        self.asks.told.set(Some(self.now()));
-        self.asks.asked.set(None);
+    /// Records that a digest of an aggregator has arrived.
+    pub(crate) fn record_digest(&self) {
+        self.asks.digest_at.set(Some(self.now()));
+        self.asks.queried_at.set(None);
         self.asks.answered.notify_waiters();
     }
 
-    /// Hears what others have under way, where this VM reports to an aggregator and was
-    /// told long ago.
+    /// Queries the aggregator for the work of other VMs, if this VM reports to one and its last
+    /// digest is outdated.
     pub(crate) async fn query_before_choice(&self) {
         let now = self.now();
-        let is_fresh = self.asks.told.get().is_some_and(|told| now - told < FRESH);
+        let is_fresh = self
+            .asks
+            .digest_at
+            .get()
+            .is_some_and(|digest_at| now - digest_at < FRESH_FOR);
         if is_fresh || !self.is_on(DecisionSwitch::NearHeartbeats) || !self.is_member() {
             return;
         }
-        let asked = self.asks.asked.get().unwrap_or_else(|| {
-            self.asks.asked.set(Some(now));
-            self.asks.ask_now.notify_one();
+        let queried_at = self.asks.queried_at.get().unwrap_or_else(|| {
+            self.asks.queried_at.set(Some(now));
+            self.asks.query_now.notify_one();
             now
         });
-        let left = ASK_WAIT.saturating_sub(now - asked);
-        if left.is_zero() {
+        let remaining = QUERY_TIMEOUT.saturating_sub(now - queried_at);
+        if remaining.is_zero() {
             return;
         }
         let answered = self.asks.answered.notified();
-        if tokio::time::timeout(left, answered).await.is_err() {
+        if tokio::time::timeout(remaining, answered).await.is_err() {
             self.metrics.count("onyxfall_unanswered_asks_total");
         }
     }
