--- a/crates/gateway/src/copies.rs
+++ b/crates/gateway/src/copies.rs
@@ -104,7 +104,7 @@
             part.packed = packed;
             part.items = Vec::new();
         }
-        Err(e) => log::warn!(error:% = e; "cannot pack a part of the store copy"),
+        Err(e) => log::warn!(error:% = e; "cannot pack store copy part"),
     }
     part
 }
@@ -178,7 +178,7 @@
             Ok(part) => part,
             Err(e) => {
                 // The parts that follow are out of order then, so the copy is requested again.
-                log::warn!(from = from.as_str(), error:% = e; "cannot unpack a part of the store copy");
+                log::warn!(from = from.as_str(), error:% = e; "cannot unpack store copy part");
                 self.metrics.count("onyxfall_items_not_understood_total");
                 return;
             }
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -418,7 +418,7 @@
     })
 }
 
-/// Handles a hello. Returns `None` if the frame is none or its protocol version differs.
+/// Handles a hello. Returns `None` if the frame is not a hello of this protocol version.
 fn receive_hello(gateway: &Gateway, frame: PeerFrame) -> Option<VmRecord> {
     let Some(PeerPayload::Hello(hello)) = frame.payload else {
         return None;
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -48,7 +48,7 @@
             rollouts.other_side(now, service, &mut *self.rng.borrow_mut())?
         };
         // A VM that hears from no other VM would not learn that the version is aborted.
-        if side == VersionSide::New && !self.knows_others() && self.expects_others() {
+        if side == VersionSide::New && !self.knows_others() && self.has_configured_peers() {
             return None;
         }
         let step = self.choose_version(now, side, call)?;
@@ -59,7 +59,7 @@
     }
 
     /// Whether the settings name another VM.
-    fn expects_others(&self) -> bool {
+    fn has_configured_peers(&self) -> bool {
         let settings = self.settings();
         settings.seeds.iter().any(|seed| *seed != settings.peers)
     }
@@ -177,9 +177,9 @@
         let mut rollouts = self.rollouts.borrow_mut();
         let services: Vec<ServiceName> = rollouts.services().cloned().collect();
         for service in services {
-            let leads = |target: &onyxfall_fleet::RouteTarget| target.service == service;
+            let is_target = |target: &onyxfall_fleet::RouteTarget| target.service == service;
             let rules = table.routes();
-            let rules = rules.filter(|rule| rule.targets.iter().any(leads));
+            let rules = rules.filter(|rule| rule.targets.iter().any(is_target));
             let mut routes: Vec<RouteName> = Vec::new();
             let mut longest = Duration::ZERO;
             for rule in rules {
@@ -333,7 +333,7 @@
                     Err(e) => log::warn!(
                         service = write.service().as_str(),
                         error:% = e;
-                        "cannot write the rollout record; will retry"
+                        "writing a rollout record failed"
                     ),
                 }
             }
--- a/crates/gateway/src/share.rs
+++ b/crates/gateway/src/share.rs
@@ -143,8 +143,8 @@
         let overlay = self.overlay.borrow();
         let changes = overlay.roster().changes();
         let kept = &mut *self.watch_order.borrow_mut();
-        if let Some((of, order)) = kept
-            && *of == changes
+        if let Some((version, order)) = kept
+            && *version == changes
         {
             return Rc::clone(order);
         }
@@ -209,7 +209,7 @@
             Ok(large) => large,
             Err(e) => {
                 // Handled like items that the sender left out: they are read from the store.
-                log::warn!(from = from.as_str(), error:% = e; "cannot unpack the items of a store change");
+                log::warn!(from = from.as_str(), error:% = e; "cannot unpack store change");
                 self.metrics.count("onyxfall_items_not_understood_total");
                 Vec::new()
             }
@@ -299,7 +299,7 @@
             .iter()
             .any(|aggregator| aggregator.name == vm.name)
     };
-    let rest: Vec<&VmRecord> = roster
+    let others: Vec<&VmRecord> = roster
         .others()
         .filter(|vm| vm.is_staying() && roster.is_near(&vm.record))
         .map(|vm| &vm.record)
@@ -307,7 +307,7 @@
         .filter(|vm| !is_aggregator(vm))
         .collect();
     let mut order = roster.duty_order(WATCH_DUTY, aggregators);
-    order.extend(roster.duty_order(WATCH_DUTY, &rest));
+    order.extend(roster.duty_order(WATCH_DUTY, &others));
     order
 }
 
--- a/crates/gateway/src/unresponsive.rs
+++ b/crates/gateway/src/unresponsive.rs
@@ -15,22 +15,22 @@
 /// Waits until a server is judged unresponsive.
 pub(crate) async fn wait_until_unresponsive(gateway: Rc<Gateway>, server: ServerId) {
     loop {
-        let noticed = gateway.silence.notified();
+        let notified = gateway.silence.notified();
         if gateway.is_silent(server) {
             return;
         }
-        noticed.await;
+        notified.await;
     }
 }
 
 /// Waits until a server has restarted: whatever ran on the old instance is lost.
 pub(crate) async fn wait_for_replacement(gateway: Rc<Gateway>, server: ServerId) {
     loop {
-        let noticed = gateway.silence.notified();
+        let notified = gateway.silence.notified();
         if gateway.fleet.borrow().server(server).is_replaced() {
             return;
         }
-        noticed.await;
+        notified.await;
     }
 }
 
