--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -37,12 +37,12 @@
 const MIN_DIAL_TIMEOUT: Duration = Duration::from_millis(150);
 /// Delay before a link is dialled again.
 const REDIAL_DELAY: Duration = Duration::from_millis(500);
-/// The same during startup. VMs that lost power together come back within a few tenths of a
-/// second, and no request can be forwarded until a link is up.
+/// Delay before a link is dialled again during startup. VMs that lost power together come back
+/// within a few tenths of a second, and no request can be forwarded until a link is up.
 const STARTUP_REDIAL_DELAY: Duration = Duration::from_millis(20);
 /// Interval at which planned links that are not open are looked for.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
-/// The same during startup.
+/// Interval at which planned links that are not open are looked for during startup.
 const STARTUP_PLAN_INTERVAL: Duration = Duration::from_millis(10);
 /// Time since the start of this VM that counts as startup here.
 const STARTUP_PERIOD: Duration = Duration::from_secs(5);
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -21,7 +21,7 @@
         let mut hangup = match signal(SignalKind::hangup()) {
             Ok(hangup) => hangup,
             Err(e) => {
-                log::error!(error:% = e; "cannot install a SIGHUP handler; settings are not reloaded");
+                log::error!(error:% = e; "no SIGHUP handler; settings will not reload");
                 return;
             }
         };
@@ -50,7 +50,7 @@
 fn reload(gateway: &Gateway, path: &Path) {
     match load_settings(path) {
         Ok(settings) => {
-            onyxfall_clock::move_on(settings.ahead);
+            onyxfall_clock::move_on(settings.clock_offset);
             gateway.set_settings(settings);
             gateway.check_suspension(BootInstant::now());
             log::info!("settings reloaded");
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -36,7 +36,7 @@
 /// Allowed window, in seconds, over which limits of teams are enforced.
 const QUOTA_WINDOW_S: RangeInclusive<f64> = 0.1..=3600.0;
 /// Longest delay that can be accepted for 1,000 tokens: an hour.
-const MAX_REREAD_MS: f64 = 3_600_000.0;
+const MAX_REPREFILL_MS: f64 = 3_600_000.0;
 
 /// Costs that decisions trade off against each other.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -91,7 +91,7 @@
     /// How strictly the limits of teams are enforced.
     pub(crate) quotas: QuotaSettings,
     /// Offset added to the clock, for tests.
-    pub(crate) ahead: Duration,
+    pub(crate) clock_offset: Duration,
     /// Which mechanisms of routing decisions are enabled.
     pub(crate) switches: DecisionSwitches,
 }
@@ -137,7 +137,7 @@
     };
     let directory_ttl = Duration::from_secs(bounds.or_default("directory-ttl-s", 5, faults));
     bounds.finish(faults);
-    let ahead = read_clock(document, faults);
+    let clock_offset = read_clock(document, faults);
     let switches = read_switches(document, faults);
     let costs = read_costs(document, faults);
     let quotas = read_quotas(document, faults);
@@ -158,7 +158,7 @@
         directory_ttl,
         costs,
         quotas,
-        ahead,
+        clock_offset,
         switches,
     })
 }
@@ -169,9 +169,9 @@
     let Some(clock) = document.readers("clock").next() else {
         return Duration::ZERO;
     };
-    let ahead = clock.or_default("ahead-ms", 0, faults);
+    let clock_offset = clock.or_default("ahead-ms", 0, faults);
     clock.finish(faults);
-    Duration::from_millis(ahead)
+    Duration::from_millis(clock_offset)
 }
 
 /// Reads an optional section. Without it, no team may exceed its limit.
@@ -202,12 +202,12 @@
     let defaults = CostSettings::default();
     let range = 0.0..=f64::MAX;
     let copied_gb = costs.ranged("copied-gb", defaults.copied_gb, range, faults);
-    let reread_ms = defaults.reread_price.as_secs_f64() * 1e3;
-    let reread_ms = costs.ranged("reread-ms", reread_ms, 0.0..=MAX_REREAD_MS, faults);
+    let reprefill_ms = defaults.reread_price.as_secs_f64() * 1e3;
+    let reprefill_ms = costs.ranged("reread-ms", reprefill_ms, 0.0..=MAX_REPREFILL_MS, faults);
     costs.finish(faults);
     CostSettings {
         copied_gb,
-        reread_price: Duration::from_secs_f64(reread_ms / 1e3),
+        reread_price: Duration::from_secs_f64(reprefill_ms / 1e3),
     }
 }
 
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -32,19 +32,20 @@
 /// First and largest delay between failed calls; the delay doubles from one to the other.
 const MIN_BACKOFF: Duration = Duration::from_millis(60);
 const MAX_BACKOFF: Duration = Duration::from_millis(700);
-/// Largest delay for a VM that need not watch: it gets its copy from a VM that does, and
-/// rejected calls are charged for too.
+/// Largest delay between failed calls of a VM that need not watch: it gets its copy from a VM
+/// that does, and rejected calls are charged for too.
 const MAX_IDLE_BACKOFF: Duration = Duration::from_millis(2100);
 /// Age from which a VM without a complete copy reads everything itself: getting the copy from
-/// another VM takes about 0.4 s when all VMs start at once.
+/// another VM takes about 0.4 s if all VMs start at once.
 const READ_AFTER: Duration = Duration::from_millis(1200);
-/// The same for a member of an aggregator. If hundreds of members read megabytes at once, the
-/// store's network link would be saturated for half a minute, and a member can serve with the
-/// first page alone.
+/// Age from which a member of an aggregator reads everything itself if it has no complete copy.
+/// If hundreds of members read megabytes at once, the store's network link would be saturated
+/// for half a minute, and a member can serve with the first page alone.
 const MEMBER_READ_AFTER: Duration = Duration::from_secs(5);
-/// Jitter added to these ages, since all VMs may have started at once.
+/// Upper bound of the jitter added to these ages, doubled for members, since all VMs may have
+/// started at once.
 const READ_JITTER: Duration = Duration::from_millis(800);
-/// The same for a VM that has not heard from any other VM.
+/// Age from which a VM that has no contact with any other VM reads everything itself.
 const NO_PEERS_READ_AFTER: Duration = Duration::from_millis(300);
 /// Delay after a watch response, so that changes in quick succession cost one call. It is far
 /// below the limits on how soon a change must be in force.
