--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -337,7 +337,7 @@
     if let Err(failure) = &result
         && let Some(rest) = failure.rest
     {
-        core.note_rest(attempt, rest);
+        core.record_backoff(attempt, rest);
         log::info!(
             "server {} wants no work for {} ms",
             server.name,
--- a/crates/fleet/src/signs.rs
+++ b/crates/fleet/src/signs.rs
@@ -69,12 +69,12 @@
 
 /// What one VM has seen of a server.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct SignRecord {
+pub(crate) struct LivenessRecord {
     last_sign: Option<Moment>,
     last_break: Option<Moment>,
 }
 
-impl SignRecord {
+impl LivenessRecord {
     /// The last sign of life.
     pub(crate) fn last_sign(&self) -> Option<Moment> {
         self.last_sign
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -17,12 +17,12 @@
 
 use crate::backup::CrashTable;
 use crate::balance::RateTable;
-use crate::call::CallNeeds;
+use crate::call::CallRequirements;
 use crate::flow::FlowMeter;
 use crate::learn::ServiceCosts;
-use crate::life::ServerBirth;
+use crate::life::StartTime;
 use crate::pools::{
-    DormantServer, LEAST_WORKING, PoolId, PoolKey, PoolPlace, PoolServer, PoolTable,
+    DormantServer, LEAST_WORKING, PoolId, PoolKey, PoolPosition, PoolServer, PoolTable,
 };
 use crate::record::ServerRecord;
 use crate::route::RouteTable;
@@ -49,7 +49,7 @@
 
 /// Where this VM stands.
 #[derive(Clone, Debug)]
-pub struct VmPlace {
+pub struct VmLocation {
     /// Its name.
     pub vm: VmName,
     /// Its data centre.
@@ -63,7 +63,7 @@
 /// The latest life under a name.
 #[derive(Clone, Copy, Debug)]
 struct LatestLife {
-    born: ServerBirth,
+    born: StartTime,
     /// The latest one that this VM has worked with.
     worked: Option<ServerId>,
 }
@@ -71,7 +71,7 @@
 /// The fleet.
 #[derive(Clone, Debug)]
 pub struct FleetView {
-    place: VmPlace,
+    place: VmLocation,
     servers: EntityMap<ServerId, ServerState>,
     by_name: HashMap<ServerName, ServerId>,
     /// The same by the tag of its life, which messages between VMs carry.
@@ -113,7 +113,7 @@
 
 impl FleetView {
     /// A view that knows no server.
-    pub fn new(place: VmPlace) -> Self {
+    pub fn new(place: VmLocation) -> Self {
         Self {
             place,
             servers: EntityMap::new(),
@@ -148,13 +148,13 @@
     }
 
     /// The moment of a birth by this VM's clock; zero for those before it.
-    pub(crate) fn moment_of(&self, born: ServerBirth) -> Moment {
+    pub(crate) fn moment_of(&self, born: StartTime) -> Moment {
         let born = Duration::from_millis(born.millis());
         Moment::from_duration(born.saturating_sub(self.unix_start))
     }
 
     /// Where this VM stands.
-    pub fn place(&self) -> &VmPlace {
+    pub fn place(&self) -> &VmLocation {
         &self.place
     }
 
@@ -283,7 +283,7 @@
     }
 
     /// A server that is not gone by the hash of its life.
-    pub fn find_life(&self, hash: u64) -> Option<ServerId> {
+    pub fn find_instance(&self, hash: u64) -> Option<ServerId> {
         self.by_life.get(&hash).copied()
     }
 
@@ -331,7 +331,11 @@
     }
 
     /// The servers of this region that a request could be sent to at once.
-    pub fn free_servers(&self, now: Moment, needs: &CallNeeds) -> impl Iterator<Item = ServerId> {
+    pub fn free_servers(
+        &self,
+        now: Moment,
+        needs: &CallRequirements,
+    ) -> impl Iterator<Item = ServerId> {
         self.near_servers(&needs.service).filter(move |id| {
             let server = self.server(*id);
             self.is_trusted(now, *id)
@@ -358,7 +362,7 @@
 
     /// Whether another request fits a server. Of other VMs' requests to a plain service
     /// some have ended since they were told.
-    pub(crate) fn has_room(&self, id: ServerId, needs: &CallNeeds) -> bool {
+    pub(crate) fn has_room(&self, id: ServerId, needs: &CallRequirements) -> bool {
         let one = self.costs(&needs.service).plain_ms() / 1e3;
         let ended = self.knowledge_age.as_secs_f64() / one.max(f64::MIN_POSITIVE);
         self.server(id).has_room(needs, PLAIN_TURNS + ended)
@@ -453,7 +457,7 @@
     }
 
     /// Begins to work with a server.
-    fn wake(&mut self, pool: PoolId, place: &PoolPlace) {
+    fn wake(&mut self, pool: PoolId, place: &PoolPosition) {
         let held = self.pools.get_mut(pool).servers.get_mut(place);
         let Some(PoolServer::Dormant(dormant)) = held else {
             return;
@@ -470,9 +474,9 @@
         let worked = self.latest.get(&name).and_then(|latest| latest.worked);
         match worked {
             Some(former) if self.servers[former].record.born == born => {
-                state.inherit_word(&self.servers[former]);
+                state.inherit_signals(&self.servers[former]);
             }
-            Some(former) => state.take_doubtful(seen, &self.doubtful_words(former, born)),
+            Some(former) => state.apply_ambiguous(seen, &self.ambiguous_signals(former, born)),
             None => {}
         }
         let id = self.servers.push(state);
@@ -487,7 +491,7 @@
     }
 
     /// Works out with which servers of a pool this VM works, after a change at a place.
-    fn settle_at(&mut self, pool: PoolId, place: &PoolPlace) {
+    fn settle_at(&mut self, pool: PoolId, place: &PoolPosition) {
         if self.pools.get(pool).is_within(place) {
             self.settle(pool);
         }
@@ -562,7 +566,7 @@
 
     /// The id under which the life of a server is known now: another one where its entry
     /// had lapsed since.
-    pub(crate) fn same_life(&self, id: ServerId) -> ServerId {
+    pub(crate) fn same_instance(&self, id: ServerId) -> ServerId {
         let record = &self.server(id).record;
         let latest = self.latest.get(&record.name);
         let worked = latest.and_then(|latest| latest.worked);
--- a/crates/fleet/tests/balance.rs
+++ b/crates/fleet/tests/balance.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use onyxfall_fleet::{
-    AwaySearch, AwayTable, DecisionSwitch, DecisionSwitches, FleetView, RateKind, RoundTrips,
+    DecisionSwitch, DecisionSwitches, FleetView, RateKind, RemoteSearch, RemoteTable, RoundTrips,
     ServerRecord, ServiceLoad,
 };
 use onyxfall_types::{ServiceName, name_tag};
@@ -97,7 +97,7 @@
 
 #[test]
 fn spare_capacity_is_shared_and_never_exceeded_by_chance() {
-    let mut table = AwayTable::default();
+    let mut table = RemoteTable::default();
     let spare_of = [("r1", 100_000), ("r2", 50_000)];
     for (region, spare) in spare_of {
         let load = ServiceLoad {
@@ -111,7 +111,7 @@
     }
     let own = "r0".parse().unwrap();
     let (needs, trips) = (needs(), RoundTrips::default());
-    let search = AwaySearch {
+    let search = RemoteSearch {
         needs: &needs,
         service_tag: name_tag("svc"),
         own_region: &own,
--- a/crates/gateway/src/asking.rs
+++ b/crates/gateway/src/asking.rs
@@ -26,7 +26,7 @@
 
 /// What wakes the links of a member and of its aggregator, and when it was told last.
 #[derive(Debug, Default)]
-pub(crate) struct WorkAsks {
+pub(crate) struct WorkQueries {
     told: Cell<Option<Moment>>,
     asked: Cell<Option<Moment>>,
     answered: Notify,
--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use onyxfall_fleet::{
-    AwayOption, AwaySearch, CallNeeds, ChoicePolicy, DecisionSwitch, FleetView, LocalOption,
-    RateKind, RoundTrips, ServerChoice, TimePrediction, goes_away,
+    CallRequirements, ChoicePolicy, DecisionSwitch, FleetView, LocalOption, RateKind, RemoteOption,
+    RemoteSearch, RoundTrips, ServerChoice, TimePrediction, goes_remote,
 };
 use onyxfall_policy::Moment;
 use onyxfall_types::{RefusalReason, RequestError, name_tag};
@@ -107,7 +107,7 @@
         now: Moment,
         call: &SharedCall,
         choice: ServerChoice,
-        away: Option<AwayOption>,
+        away: Option<RemoteOption>,
         progress: &CallProgress,
     ) -> RouteStep {
         let fleet = self.fleet.borrow();
@@ -123,7 +123,7 @@
             let saved = fleet.read_time(&call.needs.service, unread);
             let (goal, local) = (call.needs.goal, choice.predicted.loaded);
             let there = away.predicted.loaded;
-            if goes_away(goal, local, saved, there, away.holds_prefix) {
+            if goes_remote(goal, local, saved, there, away.holds_prefix) {
                 log::info!(
                     request = call.request_id.as_str(),
                     region = away.region.as_str(),
@@ -151,7 +151,7 @@
         call: &CallContext,
         fleet: &FleetView,
         progress: &CallProgress,
-    ) -> Option<AwayOption> {
+    ) -> Option<RemoteOption> {
         let needs = &call.needs;
         if needs.engine.is_some() || !self.leaves(call) {
             return None;
@@ -169,7 +169,7 @@
         }
         let excluded = self.closed_regions(&progress.vms);
         let trips = self.trips.borrow();
-        let search = AwaySearch {
+        let search = RemoteSearch {
             excluded: &excluded,
             ..plain_search(fleet, &trips, needs)
         };
@@ -276,7 +276,7 @@
     fn send_away(
         &self,
         call: &CallContext,
-        away: AwayOption,
+        away: RemoteOption,
         progress: &CallProgress,
     ) -> RouteStep {
         let Some(target) = self.relay_target(&away.region, &progress.vms) else {
@@ -313,14 +313,14 @@
         now: Moment,
         call: &CallContext,
         progress: &CallProgress,
-    ) -> Option<AwayOption> {
+    ) -> Option<RemoteOption> {
         if !self.leaves(call) {
             return None;
         }
         let excluded = self.closed_regions(&progress.vms);
         let fleet = self.fleet.borrow();
         let trips = self.trips.borrow();
-        let search = AwaySearch {
+        let search = RemoteSearch {
             prefix_home: fleet.prefix_home(&call.needs),
             excluded: &excluded,
             ..plain_search(&fleet, &trips, &call.needs)
@@ -330,7 +330,10 @@
 }
 
 /// What a request needs from here on: of a stream, what the caller does not have yet.
-fn remaining_needs<'a>(call: &'a CallContext, progress: &CallProgress) -> Cow<'a, CallNeeds> {
+fn remaining_needs<'a>(
+    call: &'a CallContext,
+    progress: &CallProgress,
+) -> Cow<'a, CallRequirements> {
     if progress.events == 0 {
         return Cow::Borrowed(&call.needs);
     }
@@ -345,9 +348,9 @@
 fn plain_search<'a>(
     fleet: &'a FleetView,
     trips: &'a RoundTrips,
-    needs: &'a CallNeeds,
-) -> AwaySearch<'a> {
-    AwaySearch {
+    needs: &'a CallRequirements,
+) -> RemoteSearch<'a> {
+    RemoteSearch {
         needs,
         service_tag: name_tag(needs.service.as_str()),
         own_region: &fleet.place().region,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -11,7 +11,7 @@
 use onyxfall_adapter::OPERATOR_PREFIX;
 use onyxfall_clock::{BootInstant, SuspensionWatch};
 use onyxfall_fleet::{
-    AnswerLengths, AwayTable, DecisionSwitch, FleetView, QuotaTable, RetryShare, RoundTrips,
+    DecisionSwitch, FleetView, QuotaTable, RemoteTable, ResponseLengths, RetryShare, RoundTrips,
     RouteTable, StoreMirror,
 };
 use onyxfall_overlay::{KnownVm, OverlayNode, RecordVersion, RosterTiming, VmRecord, VmStatus};
@@ -22,7 +22,7 @@
 use rand::rngs::StdRng;
 use tokio::sync::Notify;
 
-use crate::asking::WorkAsks;
+use crate::asking::WorkQueries;
 use crate::connection::DialPlan;
 use crate::copies::{IncomingCopy, MadeParts};
 use crate::metrics::GatewayMetrics;
@@ -64,13 +64,13 @@
     /// When this VM last looked at its own work to tell it.
     pub(crate) own_work_at: Cell<Option<Moment>>,
     /// Unknown headers by which servers describe themselves, as far as they were logged.
-    pub(crate) unknown_words: RefCell<BTreeSet<String>>,
+    pub(crate) unknown_signal_headers: RefCell<BTreeSet<String>>,
     pub(crate) relays: RefCell<RelayTable>,
-    pub(crate) away: RefCell<AwayTable>,
+    pub(crate) away: RefCell<RemoteTable>,
     /// Round trips to other regions.
     pub(crate) trips: RefCell<RoundTrips>,
     /// Lengths of the answers of each route.
-    pub(crate) lengths: RefCell<AnswerLengths>,
+    pub(crate) lengths: RefCell<ResponseLengths>,
     retries: RefCell<BTreeMap<ServiceName, RetryShare>>,
     /// What teams use of their limits.
     pub(crate) quotas: RefCell<QuotaTable>,
@@ -100,7 +100,7 @@
     pub(crate) woken: Notify,
     pub(crate) suspension: Cell<SuspensionWatch>,
     pub(crate) tell_now: Notify,
-    pub(crate) asks: WorkAsks,
+    pub(crate) asks: WorkQueries,
     /// Wakes what waits for a server that is taken for silent.
     pub(crate) silence: Notify,
     /// Servers that were taken for silent when they were last looked at.
@@ -161,7 +161,7 @@
             mirror: RefCell::new(StoreMirror::with_operator(OPERATOR_PREFIX)),
             overlay: RefCell::new(overlay),
             own_work_at: Cell::new(None),
-            unknown_words: RefCell::default(),
+            unknown_signal_headers: RefCell::default(),
             relays: RefCell::default(),
             away: RefCell::default(),
             trips: RefCell::default(),
@@ -185,7 +185,7 @@
             woken: Notify::new(),
             suspension: Cell::new(SuspensionWatch::start()),
             tell_now: Notify::new(),
-            asks: WorkAsks::default(),
+            asks: WorkQueries::default(),
             silence: Notify::new(),
             silent_servers: RefCell::default(),
             deltas_now: Notify::new(),
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -28,7 +28,7 @@
 use crate::gateway::Gateway;
 use crate::listen::accept;
 use crate::share::DeltaAudience;
-use crate::updates::{UpdateTaken, UpdateTold};
+use crate::updates::{UpdateReceiveState, UpdateSendState};
 
 type FramedLink = Framed<TcpStream, PeerCodec>;
 
@@ -90,7 +90,7 @@
     }
 
     /// Time between two updates on a link, by what there is to tell.
-    fn tell_interval(&self, relation: LinkRelation, told: &UpdateTold) -> Duration {
+    fn tell_interval(&self, relation: LinkRelation, told: &UpdateSendState) -> Duration {
         let now = self.now();
         if relation == LinkRelation::Report {
             self.refresh_own_work(now);
@@ -170,7 +170,7 @@
     link: FramedLink,
     /// The VM at the other end, once it has said who it is.
     peer: Option<VmRecord>,
-    told: UpdateTold,
+    told: UpdateSendState,
     /// What the other end last told on this link.
     heard: Option<LinkRelation>,
     next_delta: u64,
@@ -186,7 +186,7 @@
             gateway,
             link: Framed::new(stream, PeerCodec::default()),
             peer: None,
-            told: UpdateTold::default(),
+            told: UpdateSendState::default(),
             heard: None,
             next_delta: gateway.share.borrow().next_number(),
             asks: false,
@@ -308,7 +308,7 @@
     }
 
     /// Takes one frame; the first one must say who is at the other end.
-    async fn take(&mut self, frame: PeerFrame) -> Result<Option<UpdateTaken>, FrameError> {
+    async fn take(&mut self, frame: PeerFrame) -> Result<Option<UpdateReceiveState>, FrameError> {
         let Some(peer) = self.peer.as_ref().map(|peer| peer.name.clone()) else {
             let peer = take_hello(self.gateway, frame).ok_or(FrameError::Closed)?;
             self.peer = Some(peer);
@@ -333,7 +333,7 @@
         &mut self,
         peer: &VmName,
         update: &VmUpdate,
-    ) -> Result<UpdateTaken, FrameError> {
+    ) -> Result<UpdateReceiveState, FrameError> {
         let taken = self.gateway.take_update(peer, update);
         let taken = taken.ok_or(FrameError::Closed)?;
         self.heard = taken.relation.or(self.heard);
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use onyxfall_adapter::{DecodeError, StoreKey, StoreNews, read_item, read_key};
+use onyxfall_adapter::{DecodeError, StoreEntry, StoreKey, read_item, read_key};
 use onyxfall_fleet::{MirrorChange, RouteTable, ServerRecord, TeamTable};
 use onyxfall_policy::Moment;
 use onyxfall_rollout::RolloutOrder;
@@ -23,8 +23,8 @@
         for change in changes {
             match change {
                 MirrorChange::Set(key, value) => match read_item(&key, &value) {
-                    Ok(news) => self.take_news(&key, news),
-                    Err(e) => self.refuse_item(&key, &e),
+                    Ok(news) => self.apply_entry(&key, news),
+                    Err(e) => self.reject_item(&key, &e),
                 },
                 MirrorChange::Removed(key) => self.take_removal(&key),
             }
@@ -33,7 +33,7 @@
 
     /// An item that is not understood. A server's entry then names no server, also where
     /// a good one stood before: who wrote it is not known.
-    fn refuse_item(&self, key: &str, error: &DecodeError) {
+    fn reject_item(&self, key: &str, error: &DecodeError) {
         self.metrics.count("onyxfall_items_not_understood_total");
         log::error!(key, error:% = error; "item not understood");
         match read_key(key) {
@@ -107,29 +107,29 @@
         );
     }
 
-    fn take_news(&self, key: &str, news: StoreNews) {
+    fn apply_entry(&self, key: &str, news: StoreEntry) {
         let now = self.now();
         let table = self.table();
         match news {
-            StoreNews::Order(order) => self.take_order(key, order),
-            StoreNews::Rollout(service, record) => {
+            StoreEntry::Order(order) => self.take_order(key, order),
+            StoreEntry::Rollout(service, record) => {
                 let revision = self.item_revision(key);
                 let mut rollouts = self.rollouts.borrow_mut();
                 rollouts.take_record(now, &service, revision, record);
                 self.rollout_known.notify_one();
             }
-            StoreNews::Shift(service, region, order) => {
+            StoreEntry::Shift(service, region, order) => {
                 let revision = self.item_revision(key);
                 let mut rollouts = self.rollouts.borrow_mut();
                 rollouts.take_shift(now, &service, region, order, revision);
             }
-            StoreNews::Config(next) => self.take_table(*next),
-            StoreNews::Server(record) => self.take_server(now, record, table.as_deref()),
-            StoreNews::Evacuation(center) => {
+            StoreEntry::Config(next) => self.take_table(*next),
+            StoreEntry::Server(record) => self.take_server(now, record, table.as_deref()),
+            StoreEntry::Evacuation(center) => {
                 log::info!(center = center.as_str(); "data centre is evacuated");
                 self.fleet.borrow_mut().evacuate(center);
             }
-            StoreNews::Other => {}
+            StoreEntry::Other => {}
         }
     }
 
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use onyxfall_adapter::{WriteEnd, read_write, rollout_request};
-use onyxfall_fleet::{AttemptResult, LocalOption, UnreadTokens, WorkShare};
+use onyxfall_fleet::{AttemptResult, LocalOption, PrefillTokens, WorkShare};
 use onyxfall_overlay::{ServerTag, WorkEntry};
 use onyxfall_policy::Moment;
 use onyxfall_rollout::{
-    AnswerOutcome, EvidenceCounts, EvidenceTag, RolloutPhase, RolloutTable, RolloutWrite,
+    EvidenceCounts, EvidenceTag, ResponseOutcome, RolloutPhase, RolloutTable, RolloutWrite,
     SLOW_RATIOS, StoreWriter, VersionSide,
 };
 use onyxfall_types::{RegionName, RouteName, ServerId, ServiceName, stable_hash};
@@ -111,8 +111,8 @@
         ratio: Option<f64>,
     ) {
         let outcome = match result {
-            AttemptResult::Failed => AnswerOutcome::Failed,
-            AttemptResult::Succeeded => AnswerOutcome::Succeeded { ratio },
+            AttemptResult::Failed => ResponseOutcome::Failed,
+            AttemptResult::Succeeded => ResponseOutcome::Succeeded { ratio },
             AttemptResult::Unreachable
             | AttemptResult::Broken
             | AttemptResult::Shed
@@ -376,7 +376,7 @@
     let [answers, figures @ ..] = figures_of(counts);
     WorkShare {
         memory: answers,
-        unread: UnreadTokens::from_slice(&figures),
+        unread: PrefillTokens::from_slice(&figures),
         ..WorkShare::default()
     }
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -14,7 +14,7 @@
 use onyxfall_fleet::{AttemptResult, TimePrediction};
 use onyxfall_types::{RefusalReason, RequestError, RunVerdict, ServerId, VmName};
 
-use crate::attempt::{AttemptEnd, UpstreamAnswer, try_peer, try_server};
+use crate::attempt::{AttemptEnd, UpstreamResponse, try_peer, try_server};
 use crate::body::ReplyBody;
 use crate::call::SharedCall;
 use crate::decide::RouteStep;
@@ -134,7 +134,7 @@
 /// A stream that another server goes on with.
 pub(crate) struct ResumedStream {
     /// The answer of that server.
-    pub(crate) answer: Box<UpstreamAnswer>,
+    pub(crate) answer: Box<UpstreamResponse>,
     /// What the request has been through, this answer included.
     pub(crate) progress: CallProgress,
 }
@@ -322,7 +322,7 @@
 async fn read_whole(
     gateway: &Gateway,
     call: &SharedCall,
-    mut answer: UpstreamAnswer,
+    mut answer: UpstreamResponse,
 ) -> Option<WholeAnswer> {
     let reading = Limited::new(&mut answer.body, WHOLE_LIMIT).collect();
     let read = within_deadline(gateway, call, reading).await;
@@ -360,7 +360,7 @@
     gateway: &Rc<Gateway>,
     call: &SharedCall,
     progress: CallProgress,
-    answer: Box<UpstreamAnswer>,
+    answer: Box<UpstreamResponse>,
 ) -> Response<ReplyBody> {
     let (status, headers) = (answer.status, answer_headers(&answer.headers));
     let relay = StreamRelay::new(gateway, call, progress, answer);
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -9,7 +9,7 @@
 
 use onyxfall_fleet::{
     BudgetLimits, ChoicePolicy, DecisionSwitch, DecisionSwitches, QuotaSettings, REREAD_PRICE,
-    VmPlace,
+    VmLocation,
 };
 use onyxfall_overlay::VmCapacity;
 use onyxfall_settings::{FaultList, IniDocument, SettingsError};
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct GatewaySettings {
     /// Where this VM stands.
-    pub(crate) place: VmPlace,
+    pub(crate) place: VmLocation,
     /// Processor of this VM; larger ones have duties first.
     pub(crate) capacity: VmCapacity,
     /// Address that this VM's own connections come from; none if the system picks one.
@@ -224,7 +224,7 @@
 
 /// What the settings say of this VM.
 struct VmSettings {
-    place: VmPlace,
+    place: VmLocation,
     capacity: VmCapacity,
     source: Option<IpAddr>,
 }
@@ -250,7 +250,7 @@
     let source = vm_section.optional("source-address", faults);
     vm_section.finish(faults);
     Some(VmSettings {
-        place: VmPlace {
+        place: VmLocation {
             vm: vm?,
             center: center?,
             region: region?,
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -14,7 +14,7 @@
 use onyxfall_overlay::{KnownVm, VmRecord};
 use onyxfall_policy::Moment;
 use onyxfall_suspects::{
-    LifeTag, RequestFingerprint, SuspectTable, SuspectVerdict, SuspectsTold, holder_of,
+    InstanceTag, RequestFingerprint, SuspectCursor, SuspectTable, SuspectVerdict, holder_of,
 };
 use onyxfall_types::{RefusalReason, RegionName, RequestError, ServerId};
 use onyxfall_wire::VmUpdate;
@@ -116,10 +116,10 @@
         if board.table.is_empty() {
             return;
         }
-        let lost: Vec<LifeTag> = board.table.lost_lives().collect();
+        let lost: Vec<InstanceTag> = board.table.lost_lives().collect();
         let fleet = self.fleet.borrow();
         for life in lost {
-            let server = fleet.find_life(life.number());
+            let server = fleet.find_instance(life.number());
             let sign = server.and_then(|id| fleet.server(id).last_sign());
             if let Some(sign) = sign {
                 board.table.note_alive(life, sign);
@@ -128,9 +128,9 @@
         board.table.expire(now);
     }
 
-    fn life_of(&self, server: ServerId) -> LifeTag {
+    fn life_of(&self, server: ServerId) -> InstanceTag {
         let fleet = self.fleet.borrow();
-        LifeTag::from_number(fleet.server(server).life_hash())
+        InstanceTag::from_number(fleet.server(server).life_hash())
     }
 
     /// What may be done with a request.
@@ -217,7 +217,7 @@
     }
 
     /// What is news of suspects on a link.
-    pub(crate) fn tell_suspects(&self, told: &mut SuspectsTold, update: &mut VmUpdate) {
+    pub(crate) fn tell_suspects(&self, told: &mut SuspectCursor, update: &mut VmUpdate) {
         let news = self.suspects.borrow().table.tell(self.now(), told);
         if !news.is_empty() {
             wire_suspects(&news, update);
--- a/crates/gateway/src/updates.rs
+++ b/crates/gateway/src/updates.rs
@@ -5,16 +5,16 @@
 use std::time::Duration;
 
 use onyxfall_fleet::{
-    CallNeeds, CopyState, CostTeller, CostView, HomeRegions, PromptSize, ServiceLoad,
+    CallRequirements, CopyState, CostSource, CostView, HomeRegions, PromptSize, ServiceLoad,
     TimePrediction, WorkShare,
 };
 use onyxfall_overlay::{LinkRelation, LinkState, ServerTag, VmStatus, WorkEntry};
 use onyxfall_policy::Moment;
-use onyxfall_suspects::SuspectsTold;
+use onyxfall_suspects::SuspectCursor;
 use onyxfall_types::{RegionName, VmName, name_tag};
 use onyxfall_wire::{RegionLoadEntry, ServiceLoadEntry, TeamDemandEntry, VmUpdate};
 
-use crate::costs::{CostsTold, take_costs};
+use crate::costs::{CostCursor, take_costs};
 use crate::frames::{overlay_update, wire_millis, wire_update};
 use crate::gateway::Gateway;
 use crate::share::PeerCopy;
@@ -25,17 +25,17 @@
 
 /// What was told in one direction of one link.
 #[derive(Default)]
-pub(crate) struct UpdateTold {
+pub(crate) struct UpdateSendState {
     link: LinkState,
-    costs: CostsTold,
-    suspects: SuspectsTold,
+    costs: CostCursor,
+    suspects: SuspectCursor,
     /// When the last word told of each region was said.
     regions: BTreeMap<RegionName, Moment>,
 }
 
 /// An update that was taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct UpdateTaken {
+pub(crate) struct UpdateReceiveState {
     /// What its sender is to this VM; none if that is of a later version.
     pub(crate) relation: Option<LinkRelation>,
     /// What to answer with, if anything.
@@ -44,7 +44,7 @@
     pub(crate) asks: bool,
 }
 
-impl UpdateTold {
+impl UpdateSendState {
     /// The overlay's part of it.
     pub(crate) fn link(&self) -> &LinkState {
         &self.link
@@ -57,7 +57,7 @@
         &self,
         relation: LinkRelation,
         peer: Option<&VmName>,
-        told: &mut UpdateTold,
+        told: &mut UpdateSendState,
     ) -> VmUpdate {
         let now = self.now();
         self.refresh_status();
@@ -78,12 +78,16 @@
     }
 
     /// Takes what a VM tells; none if its link has to start anew.
-    pub(crate) fn take_update(&self, from: &VmName, update: &VmUpdate) -> Option<UpdateTaken> {
+    pub(crate) fn take_update(
+        &self,
+        from: &VmName,
+        update: &VmUpdate,
+    ) -> Option<UpdateReceiveState> {
         let now = self.now();
         let settings = self.settings();
         let Some(message) = overlay_update(update, &settings.place.centers) else {
             self.metrics.count("onyxfall_unknown_updates_total");
-            return Some(UpdateTaken::default());
+            return Some(UpdateReceiveState::default());
         };
         let relation = message.relation;
         let taken = self.overlay.borrow_mut().take(now, from, &message);
@@ -111,7 +115,7 @@
                 is_whole: update.copy_is_whole,
             },
         );
-        Some(UpdateTaken {
+        Some(UpdateReceiveState {
             relation: Some(relation),
             answer: self.overlay.borrow().answer(from, relation),
             asks: update.asks,
@@ -143,7 +147,7 @@
                     fleet.server_mut(server).set_others(now, work);
                     drop(fleet);
                     self.note_silence(now, server);
-                    self.tell_limit(now, server, was_limited);
+                    self.log_limit_change(now, server, was_limited);
                 }
                 None if self.take_evidence(tag, &work) => {}
                 None => self.apply_rate(now, tag, work.flow),
@@ -271,7 +275,7 @@
         let fleet = self.fleet.borrow();
         let mut entries = Vec::new();
         for service in table.services() {
-            let usual = CallNeeds {
+            let usual = CallRequirements {
                 service: service.name.clone(),
                 engine: service.engine,
                 prompt: PromptSize::default(),
@@ -320,10 +324,10 @@
     }
 }
 
-fn cost_teller(relation: LinkRelation) -> CostTeller {
+fn cost_teller(relation: LinkRelation) -> CostSource {
     match relation {
-        LinkRelation::Report => CostTeller::Member,
-        _ => CostTeller::Aggregator,
+        LinkRelation::Report => CostSource::Member,
+        _ => CostSource::Aggregator,
     }
 }
 
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -71,7 +71,7 @@
             grant: 1_000_000,
         };
         let models = bundle.models.keys().map(digest).collect();
-        router.hear_center(
+        router.receive_center(
             Moment::ZERO,
             &CenterDigest {
                 center,
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -196,7 +196,7 @@
                     sequence: self.sequence,
                     models,
                 };
-                self.router.hear_center(self.now, &digest);
+                self.router.receive_center(self.now, &digest);
             }
             RouterInput::Drain { server } => {
                 let name = ["s1", "s2"][server];
--- a/crates/policy/tests/router.rs
+++ b/crates/policy/tests/router.rs
@@ -173,7 +173,7 @@
         grant,
     }];
     let center = bundle.center_id(center).unwrap();
-    router.hear_center(
+    router.receive_center(
         Moment::ZERO,
         &CenterDigest {
             center,
--- a/crates/rollout/src/table.rs
+++ b/crates/rollout/src/table.rs
@@ -7,12 +7,12 @@
 use onyxfall_types::{RegionName, RouteName, ServiceName, SoftwareVersion};
 use rand::Rng;
 
-use crate::evidence::{AnswerOutcome, EvidenceCounts, EvidenceTag, VersionSide};
+use crate::evidence::{EvidenceCounts, EvidenceTag, ResponseOutcome, VersionSide};
 use crate::judge::{BadMetric, RolloutJudgement};
 use crate::order::RolloutOrder;
 use crate::record::{RolloutReason, RolloutRecord};
 use crate::service::{
-    DueWrite, HeldOrder, RolloutPhase, ServerCounts, ServiceRollout, VersionRule,
+    DueWrite, PendingOrder, RolloutPhase, ServerCounts, ServiceRollout, VersionRule,
 };
 
 /// How much longer each further VM waits with a change that is due: the first one's is
@@ -229,7 +229,7 @@
         route: &str,
         side: VersionSide,
         life: u64,
-        outcome: AnswerOutcome,
+        outcome: ResponseOutcome,
     ) {
         if let Some(rollout) = self.services.get_mut(service) {
             rollout.evidence.note(route, side, life, outcome);
@@ -378,7 +378,7 @@
             service,
             region: region.clone(),
             expected: rollout.mark_revision(region),
-            order: rollout.order().map_or(0, HeldOrder::number),
+            order: rollout.order().map_or(0, PendingOrder::number),
         },
     }
 }
--- a/crates/rollout/tests/support/mod.rs
+++ b/crates/rollout/tests/support/mod.rs
@@ -7,7 +7,7 @@
 
 use onyxfall_policy::Moment;
 use onyxfall_rollout::{
-    AnswerOutcome, EvidenceCounts, EvidenceTag, RolloutOrder, RolloutPhase, RolloutRecord,
+    EvidenceCounts, EvidenceTag, ResponseOutcome, RolloutOrder, RolloutPhase, RolloutRecord,
     RolloutState, RolloutTable, RolloutWrite, ServerCounts, StoreWriter, VersionSide,
 };
 use onyxfall_types::{RegionName, RouteName, ServiceName};
@@ -443,11 +443,11 @@
             }
         }
         let outcome = if self.rng.random_bool(failures.min(1.0)) {
-            AnswerOutcome::Failed
+            ResponseOutcome::Failed
         } else {
             // Servers that have just started are slow, and say nothing.
             let is_warm = side == VersionSide::Old || self.now() >= Duration::from_secs(3);
-            AnswerOutcome::Succeeded {
+            ResponseOutcome::Succeeded {
                 ratio: is_warm.then_some(ratio),
             }
         };
--- a/crates/suspects/tests/innocents.rs
+++ b/crates/suspects/tests/innocents.rs
@@ -11,7 +11,7 @@
 use expect_test::expect;
 use onyxfall_policy::Moment;
 use onyxfall_suspects::{
-    FingerprintParts, LifeTag, RequestFingerprint, SuspectTable, SuspectVerdict,
+    FingerprintParts, InstanceTag, RequestFingerprint, SuspectTable, SuspectVerdict,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -137,7 +137,7 @@
         if now < self.servers[index].down_until {
             return;
         }
-        let life = LifeTag::of(&format!("life{}", self.servers[index].life));
+        let life = InstanceTag::of(&format!("life{}", self.servers[index].life));
         let lost = std::mem::take(&mut self.servers[index].runs);
         self.servers[index].down_until = now + BACK_AFTER;
         self.servers[index].life = self.lives;
