--- a/crates/entry/src/control/beat.rs
+++ b/crates/entry/src/control/beat.rs
@@ -63,7 +63,7 @@
     core.with_router(|router| {
         router.set_members(now, rank, members);
         for name in &changed {
-            router.forget_peer(name);
+            router.evict_peer(name);
         }
     });
     for name in changed {
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -171,9 +171,9 @@
             // A configuration is never withdrawn; the last one stays in force.
             StoreKey::Config | StoreKey::Other => {}
             // Nobody deletes these: the store was restored from an older copy.
-            StoreKey::Rollout(service) => self.rollouts.borrow_mut().lose_record(&service),
+            StoreKey::Rollout(service) => self.rollouts.borrow_mut().remove_record(&service),
             StoreKey::Shift(service, region) => {
-                self.rollouts.borrow_mut().lose_shift(&service, &region);
+                self.rollouts.borrow_mut().remove_shift(&service, &region);
             }
             StoreKey::Order(service) => {
                 log::info!(service = service.as_str(); "order of another version is taken back");
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -53,7 +53,7 @@
         }
         let step = self.choose_version(now, side, call)?;
         if side == VersionSide::New {
-            self.rollouts.borrow_mut().take_sample(service);
+            self.rollouts.borrow_mut().claim_canary(service);
         }
         Some(step)
     }
@@ -145,7 +145,7 @@
     pub(crate) fn take_evidence(&self, tag: ServerTag, share: &WorkShare) -> bool {
         let mut rollouts = self.rollouts.borrow_mut();
         // Asked for each figure that is no server's, with or without a roll-out.
-        !rollouts.is_empty() && rollouts.set_told(EvidenceTag(tag.0), evidence_counts(share))
+        !rollouts.is_empty() && rollouts.set_regional(EvidenceTag(tag.0), evidence_counts(share))
     }
 
     /// Counts of this region, for other regions.
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -87,7 +87,7 @@
         let fingerprint = call.fingerprint();
         let verdict = {
             let mut board = self.suspects.borrow_mut();
-            board.table.note_crash(now, fingerprint, life);
+            board.table.record_crash(now, fingerprint, life);
             board.table.judge(now, fingerprint)
         };
         self.metrics.count("onyxfall_lost_runs_total");
@@ -106,7 +106,7 @@
     pub(crate) fn note_good_run(&self, call: &CallContext) {
         let mut board = self.suspects.borrow_mut();
         if !board.table.is_empty() {
-            board.table.note_served(call.fingerprint());
+            board.table.record_success(call.fingerprint());
         }
     }
 
@@ -116,13 +116,13 @@
         if board.table.is_empty() {
             return;
         }
-        let lost: Vec<InstanceTag> = board.table.lost_lives().collect();
+        let lost: Vec<InstanceTag> = board.table.lost_instances().collect();
         let fleet = self.fleet.borrow();
         for life in lost {
             let server = fleet.find_instance(life.number());
             let sign = server.and_then(|id| fleet.server(id).last_sign());
             if let Some(sign) = sign {
-                board.table.note_alive(life, sign);
+                board.table.record_liveness(life, sign);
             }
         }
         board.table.expire(now);
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -178,7 +178,7 @@
     }
 
     /// Forgets what another entry of the data centre told.
-    pub fn forget_peer(&mut self, peer: &VmName) {
+    pub fn evict_peer(&mut self, peer: &VmName) {
         for (_, pool) in self.pools.iter_mut() {
             pool.peer_work.remove(peer);
         }
@@ -325,7 +325,7 @@
     }
 
     /// Notes that a server has stopped reporting.
-    pub fn report_silent(&mut self, now: Moment, server: ServerId) {
+    pub fn report_unresponsive(&mut self, now: Moment, server: ServerId) {
         if self.servers.get(server).is_some() {
             self.servers[server].fall_silent(now);
         }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -248,7 +248,7 @@
 
     /// Takes the sum of the counts of the other VMs of the region; whether the tag is
     /// known.
-    pub fn set_told(&mut self, tag: EvidenceTag, counts: EvidenceCounts) -> bool {
+    pub fn set_regional(&mut self, tag: EvidenceTag, counts: EvidenceCounts) -> bool {
         let cell = self.cell(tag);
         let is_known = cell.is_some();
         if let Some(cell) = cell {
--- a/crates/rollout/src/service.rs
+++ b/crates/rollout/src/service.rs
@@ -243,7 +243,7 @@
     }
 
     /// Notes that the record no longer stands in the store.
-    pub(crate) fn lose_record(&mut self) {
+    pub(crate) fn remove_record(&mut self) {
         if let Some(held) = &mut self.held {
             held.revision = 0;
             held.is_lost = true;
@@ -416,7 +416,7 @@
     }
 
     /// Counts a request that is sent to the new version as one of the sample.
-    pub(crate) fn take_sample(&mut self) {
+    pub(crate) fn claim_canary(&mut self) {
         self.sample.take();
     }
 
--- a/crates/rollout/src/table.rs
+++ b/crates/rollout/src/table.rs
@@ -164,14 +164,14 @@
     }
 
     /// Notes that the store has lost the record of a service.
-    pub fn lose_record(&mut self, service: &ServiceName) {
+    pub fn remove_record(&mut self, service: &ServiceName) {
         if let Some(rollout) = self.services.get_mut(service) {
-            rollout.lose_record();
+            rollout.remove_record();
         }
     }
 
     /// Notes that the store has lost a region's word that it moves its traffic.
-    pub fn lose_shift(&mut self, service: &ServiceName, region: &RegionName) {
+    pub fn remove_shift(&mut self, service: &ServiceName, region: &RegionName) {
         if let Some(rollout) = self.services.get_mut(service) {
             rollout.lose_mark(region);
         }
@@ -216,9 +216,9 @@
     }
 
     /// Counts a request that is sent to the new version as one of the sample.
-    pub fn take_sample(&mut self, service: &ServiceName) {
+    pub fn claim_canary(&mut self, service: &ServiceName) {
         if let Some(rollout) = self.services.get_mut(service) {
-            rollout.take_sample();
+            rollout.claim_canary();
         }
     }
 
@@ -244,9 +244,9 @@
     }
 
     /// Takes the sum of the other VMs' counts; whether the tag is known.
-    pub fn set_told(&mut self, tag: EvidenceTag, counts: EvidenceCounts) -> bool {
+    pub fn set_regional(&mut self, tag: EvidenceTag, counts: EvidenceCounts) -> bool {
         let mut rollouts = self.services.values_mut();
-        rollouts.any(|rollout| rollout.evidence.set_told(tag, counts))
+        rollouts.any(|rollout| rollout.evidence.set_regional(tag, counts))
     }
 
     /// Counts of this region, to tell other regions.
--- a/crates/rollout/tests/support/mod.rs
+++ b/crates/rollout/tests/support/mod.rs
@@ -368,7 +368,7 @@
             if self.fault == PlayFault::NoServers {
                 return;
             }
-            self.vms[vm].table.take_sample(&service());
+            self.vms[vm].table.claim_canary(&service());
         }
         let state = self.record.as_ref().map(|(_, record)| record.state);
         if side == VersionSide::New && state != Some(RolloutState::Completed) {
@@ -479,7 +479,7 @@
                 }
             }
             for (tag, counts) in sums {
-                self.vms[to].table.set_told(EvidenceTag(tag), counts);
+                self.vms[to].table.set_regional(EvidenceTag(tag), counts);
             }
         }
         self.tell_regions();
--- a/crates/suspects/src/record.rs
+++ b/crates/suspects/src/record.rs
@@ -49,7 +49,7 @@
 
     /// Notes a sign of life at `at`; whether that is news: bytes that had arrived before
     /// it broke off are still read for a while.
-    pub(crate) fn note_alive(&mut self, at: Moment) -> bool {
+    pub(crate) fn record_liveness(&mut self, at: Moment) -> bool {
         let is_news = self
             .lost
             .is_some_and(|lost| at > lost + crate::table::SETTLE);
@@ -116,7 +116,7 @@
     }
 
     /// Notes that it was on a life that broke off; whether that is news.
-    pub(crate) fn note_crash(&mut self, life: InstanceTag, crash: CrashRecord) -> bool {
+    pub(crate) fn record_crash(&mut self, life: InstanceTag, crash: CrashRecord) -> bool {
         if let Some(known) = self.crashes.get_mut(&life) {
             let is_later = crash.survivals > known.survivals;
             let is_earlier = crash.survivals == known.survivals && crash.at < known.at;
--- a/crates/suspects/src/table.rs
+++ b/crates/suspects/src/table.rs
@@ -89,12 +89,17 @@
     /// });
     /// let mut table = SuspectTable::default();
     /// for life in ["s1", "s2", "s3"] {
-    ///     table.note_crash(Moment::ZERO, request, InstanceTag::of(life));
+    ///     table.record_crash(Moment::ZERO, request, InstanceTag::of(life));
     /// }
     /// let verdict = table.judge(Moment::ZERO, request);
     /// assert!(matches!(verdict, SuspectVerdict::Quarantined { .. }));
     /// ```
-    pub fn note_crash(&mut self, now: Moment, fingerprint: RequestFingerprint, life: InstanceTag) {
+    pub fn record_crash(
+        &mut self,
+        now: Moment,
+        fingerprint: RequestFingerprint,
+        life: InstanceTag,
+    ) {
         let survivals = self.lives.get(&life).map_or(0, |record| record.survivals);
         self.take_life(now, life, survivals, Some(now));
         let crash = CrashRecord { at: now, survivals };
@@ -104,10 +109,10 @@
     }
 
     /// Notes a sign of life of a server.
-    pub fn note_alive(&mut self, life: InstanceTag, at: Moment) {
+    pub fn record_liveness(&mut self, life: InstanceTag, at: Moment) {
         let number = self.changes + 1;
         if let Some(record) = self.lives.get_mut(&life)
-            && record.note_alive(at)
+            && record.record_liveness(at)
         {
             record.changed = number;
             self.changes = number;
@@ -115,13 +120,13 @@
     }
 
     /// Lives that broke off and of which no sign of life is known since.
-    pub fn lost_lives(&self) -> impl Iterator<Item = InstanceTag> {
+    pub fn lost_instances(&self) -> impl Iterator<Item = InstanceTag> {
         let lost = self.lives.iter().filter(|(_, life)| life.lost.is_some());
         lost.map(|(tag, _)| *tag)
     }
 
     /// Notes that a request ran to a good end: what spoke against it no longer does.
-    pub fn note_served(&mut self, fingerprint: RequestFingerprint) {
+    pub fn record_success(&mut self, fingerprint: RequestFingerprint) {
         let number = self.changes + 1;
         if let Some(record) = self.requests.get_mut(&fingerprint)
             && record.len() > 0
@@ -265,7 +270,7 @@
         let mut is_news = record.note_good_runs(good_runs);
         if good_runs == record.good_runs {
             for (life, crash) in crashes {
-                is_news |= record.note_crash(*life, *crash);
+                is_news |= record.record_crash(*life, *crash);
             }
         }
         if is_news {
--- a/crates/suspects/tests/innocents.rs
+++ b/crates/suspects/tests/innocents.rs
@@ -100,7 +100,7 @@
             }
             let ended = |run: &Run| run.ends <= now;
             for run in self.servers[index].runs.extract_if(.., |run| ended(run)) {
-                self.table.note_served(run.request);
+                self.table.record_success(run.request);
             }
             while self.servers[index].runs.len() < RUNS {
                 self.next_request += 1;
@@ -143,7 +143,7 @@
         self.servers[index].life = self.lives;
         self.lives += 1;
         for run in &lost {
-            self.table.note_crash(now, run.request, life);
+            self.table.record_crash(now, run.request, life);
         }
         for run in lost {
             if run.attempts < ATTEMPTS {
