--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -238,7 +238,7 @@
                 None => true,
             };
             if undelivered
-                && let RouteStep::Run { attempt, .. } | RouteStep::Away { attempt, .. } = step
+                && let RouteStep::Run { attempt, .. } | RouteStep::Forward { attempt, .. } = step
             {
                 let outcome = AttemptOutcome::Cancelled;
                 router.end(
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -121,7 +121,7 @@
             RouteStep::Run { attempt, server } => {
                 run_here(core, context, attempt, server, sink, &mut history)
             }
-            RouteStep::Away { attempt, center } => {
+            RouteStep::Forward { attempt, center } => {
                 run_there(core, context, attempt, center, sink, &mut history)
             }
             RouteStep::Refuse(error) => return Err(grown(error, &history)),
--- a/crates/policy/src/router/decide.rs
+++ b/crates/policy/src/router/decide.rs
@@ -202,6 +202,6 @@
             },
         );
         self.counts.away += 1;
-        RouteStep::Away { attempt, center }
+        RouteStep::Forward { attempt, center }
     }
 }
--- a/crates/policy/src/router/kinds.rs
+++ b/crates/policy/src/router/kinds.rs
@@ -120,7 +120,7 @@
         server: ServerId,
     },
     /// Send it to an entry of another data centre.
-    Away {
+    Forward {
         /// Attempt to report the end of.
         attempt: u64,
         /// The data centre.
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -254,7 +254,7 @@
                 );
                 self.open.push(*attempt);
             }
-            RouteStep::Away { attempt, center } => {
+            RouteStep::Forward { attempt, center } => {
                 let region = self.bundle.centers[*center].region;
                 assert!(arrival.allowed.contains(region), "sent outside residency");
                 assert_eq!(arrival.origin, ArrivalOrigin::Caller, "a second hop");
