--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -71,7 +71,7 @@
     /// Time without a heartbeat until a member is gone.
     pub gone_after: Duration,
     /// Time without a heartbeat until a gone member is evicted.
-    pub forget_after: Duration,
+    pub evict_after: Duration,
 }
 
 impl Default for MemberTiming {
@@ -79,7 +79,7 @@
         Self {
             suspect_after: Duration::from_secs(3),
             gone_after: Duration::from_secs(10),
-            forget_after: Duration::from_mins(10),
+            evict_after: Duration::from_mins(10),
         }
     }
 }
@@ -248,7 +248,7 @@
             }
         }
         self.members.retain(|_, member| {
-            member.state != MemberState::Gone || now - member.received_at < timing.forget_after
+            member.state != MemberState::Gone || now - member.received_at < timing.evict_after
         });
         changed
     }
