--- a/crates/fleet/tests/learn.rs
+++ b/crates/fleet/tests/learn.rs
@@ -403,7 +403,7 @@
             view.end_attempt(now, server, number, AttemptResult::Succeeded, None);
         }
         let now = at(case.following * 100);
-        let unread = view.server(server).unread_tokens(now, &first.prompt);
+        let unread = view.server(server).prefill_tokens(now, &first.prompt);
         assert_eq!(unread, case.unread, "{}", case.name);
     }
 }
