--- a/crates/entry/src/backend.rs
+++ b/crates/entry/src/backend.rs
@@ -21,7 +21,7 @@
     Buffers, ConnectionDetails, Connector, LazyBuffers, NextTimeout, Transport,
 };
 
-use crate::answer::{ResponseHead, ResponseSink};
+use crate::response::{ResponseHead, ResponseSink};
 
 const READ_CHUNK: usize = 16 * 1024;
 
--- a/crates/entry/src/control/heartbeat.rs
+++ b/crates/entry/src/control/heartbeat.rs
@@ -332,9 +332,9 @@
         PeerPayload::ContentRequest(request) => {
             let digest = request.digest.parse().ok();
             let config = core.config.lock();
-            let held = digest.and_then(|digest| config.content(&digest).cloned());
+            let stored = digest.and_then(|digest| config.content(&digest).cloned());
             drop(config);
-            let bundle = held.and_then(|held| serde_json::to_string(&held).ok());
+            let bundle = stored.and_then(|stored| serde_json::to_string(&stored).ok());
             let content = ContentText {
                 bundle: bundle.unwrap_or_default(),
             };
--- a/crates/entry/src/edge/admin.rs
+++ b/crates/entry/src/edge/admin.rs
@@ -25,11 +25,11 @@
         ..HttpLimits::default()
     };
     HttpServer::start(listener, limits, move |request, responder| {
-        let _ = responder.reply(answer(&core, request.path()));
+        let _ = responder.reply(response(&core, request.path()));
     })
 }
 
-fn answer(core: &EntryCore, path: &str) -> HttpReply {
+fn response(core: &EntryCore, path: &str) -> HttpReply {
     match path {
         "/metrics" => HttpReply::full(200, "text/plain; version=0.0.4", render_metrics(core)),
         "/healthz" => {
--- a/crates/entry/src/edge/caller.rs
+++ b/crates/entry/src/edge/caller.rs
@@ -13,11 +13,11 @@
 use serde_json::{Value, json};
 use uuid::Uuid;
 
-use crate::answer::{CallerResponse, ResponseSink};
 use crate::control::entries_for_callers;
 use crate::core::{EntryCore, not_ready};
 use crate::edge::problem_json;
 use crate::edge::ticket::{issue_ticket, serve_ticket};
+use crate::response::{CallerResponse, ResponseSink};
 use crate::serve::{RequestContext, RequestOrigin, permitted_regions, serve_request, unknown_kind};
 use crate::trace::{context_of, header_of};
 
@@ -122,14 +122,14 @@
     } = prepared;
     let max_buffered = core.settings.max_buffered.as_usize();
     let traceparent = header_of(&context.span);
-    let answer = CallerResponse::new(
+    let response = CallerResponse::new(
         responder,
         request_id.to_owned(),
         traceparent,
         streaming,
         max_buffered,
     );
-    let sink = ResponseSink::Caller(answer);
+    let sink = ResponseSink::Caller(response);
     let _ = match ticket {
         Some(ticket) => serve_ticket(core, &context, &ticket, sink),
         None => serve_request(core, &context, sink),
--- a/crates/entry/src/edge/ticket.rs
+++ b/crates/entry/src/edge/ticket.rs
@@ -6,10 +6,10 @@
 use onyxfall_policy::{MemberState, TicketError, TicketId, TicketOutcome, TicketState};
 use onyxfall_types::{RefusalReason, RequestError, RunVerdict};
 
-use crate::answer::{BufferedResponse, MemoryResponse, ResponseHead, ResponseSink};
 use crate::core::EntryCore;
 use crate::metrics::CounterName;
 use crate::peer::{ForwardCall, run_on_member};
+use crate::response::{BufferedResponse, MemoryResponse, ResponseHead, ResponseSink};
 use crate::serve::{RequestContext, RequestOrigin, serve_into};
 use crate::trace::header_of;
 
@@ -54,13 +54,13 @@
 }
 
 fn send_buffered(buffered: BufferedResponse, mut sink: ResponseSink) -> Result<(), RequestError> {
-    let gone = || {
+    let caller_gone = || {
         let detail = "the caller disconnected before the end of the response";
         RequestError::failed(RunVerdict::Ran, RefusalReason::Cancelled, detail)
     };
-    sink.head(buffered.head).map_err(|_| gone())?;
-    sink.data(buffered.body).map_err(|_| gone())?;
-    sink.finish().map_err(|_| gone())
+    sink.head(buffered.head).map_err(|_| caller_gone())?;
+    sink.data(buffered.body).map_err(|_| caller_gone())?;
+    sink.finish().map_err(|_| caller_gone())
 }
 
 fn redeem(
@@ -125,7 +125,7 @@
     let mut sink = ResponseSink::Memory(MemoryResponse::default());
     let result = serve_into(core, context, &mut sink);
     let buffered = match sink {
-        ResponseSink::Memory(answer) => answer.into_buffered(),
+        ResponseSink::Memory(response) => response.into_buffered(),
         ResponseSink::Caller(_) | ResponseSink::Peer(_) => None,
     };
     let result = result.and_then(|()| {
@@ -152,7 +152,7 @@
     context: &RequestContext,
     ticket: &TicketId,
 ) -> Result<BufferedResponse, RequestError> {
-    let gone =
+    let may_have_run =
         |detail: &str| RequestError::failed(RunVerdict::MayHaveRun, RefusalReason::Ticket, detail);
     let issuer = {
         let members = core.members.lock();
@@ -162,7 +162,7 @@
         let same = member.filter(|m| m.beat.incarnation == ticket.incarnation);
         same.map(|m| m.beat.clone())
     };
-    let issuer = issuer.ok_or_else(|| gone("the VM that issued the ticket is gone"))?;
+    let issuer = issuer.ok_or_else(|| may_have_run("the VM that issued the ticket is gone"))?;
     let bundle = core.bundle().ok_or_else(crate::core::not_ready)?;
     check_issuer_region(&bundle, context, &issuer)?;
     let call = ForwardCall {
@@ -188,8 +188,10 @@
         error
     })?;
     match sink {
-        ResponseSink::Memory(answer) => answer.into_buffered().ok_or_else(|| gone("no response")),
-        ResponseSink::Caller(_) | ResponseSink::Peer(_) => Err(gone("no response")),
+        ResponseSink::Memory(response) => response
+            .into_buffered()
+            .ok_or_else(|| may_have_run("no response")),
+        ResponseSink::Caller(_) | ResponseSink::Peer(_) => Err(may_have_run("no response")),
     }
 }
 
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -11,7 +11,6 @@
 //! Invariants: no decision waits for the platform or another region; a request that
 //! arrives from a peer is never forwarded (that path has no call to do so).
 
-mod answer;
 mod backend;
 mod clock;
 mod control;
@@ -20,6 +19,7 @@
 mod metrics;
 mod peer;
 mod process;
+mod response;
 mod serve;
 mod settings;
 mod supervisor;
--- a/crates/entry/src/peer/forward.rs
+++ b/crates/entry/src/peer/forward.rs
@@ -10,10 +10,10 @@
 };
 use rand::seq::IndexedRandom;
 
-use crate::answer::{ResponseHead, ResponseSink};
 use crate::backend::AttemptError;
 use crate::core::EntryCore;
 use crate::peer::link::{PeerLink, PeerStream, StreamEvent};
+use crate::response::{ResponseHead, ResponseSink};
 use crate::serve::RequestContext;
 
 /// Credit is returned in steps of this many bytes, not for each frame.
--- a/crates/entry/src/peer/listen.rs
+++ b/crates/entry/src/peer/listen.rs
@@ -19,7 +19,6 @@
 };
 use parking_lot::Mutex;
 
-use crate::answer::ResponseSink;
 use crate::control::handle_control;
 use crate::core::EntryCore;
 use crate::edge::serve_ticket;
@@ -27,6 +26,7 @@
 use crate::peer::convert::{check_hello, own_hello};
 use crate::peer::link::PeerLink;
 use crate::peer::reply::PeerResponse;
+use crate::response::ResponseSink;
 use crate::serve::{RequestContext, RequestOrigin, serve_request};
 use crate::supervisor::StopSignal;
 use crate::trace::context_of;
@@ -195,26 +195,27 @@
             log::error!("cannot start a thread for a forwarded request: {e}");
             self.open.lock().open.remove(&id);
             let error = RequestError::not_run(RefusalReason::Overloaded, "cannot start a thread");
-            self.answer(id, Arc::new(CreditWindow::new())).fail(&error);
+            self.response(id, Arc::new(CreditWindow::new()))
+                .fail(&error);
         }
     }
 
-    fn answer(&self, attempt: u64, window: Arc<CreditWindow>) -> PeerResponse {
+    fn response(&self, attempt: u64, window: Arc<CreditWindow>) -> PeerResponse {
         let stall_timeout = self.core.settings.limits.stall_timeout;
         PeerResponse::new(Arc::clone(&self.link), attempt, window, stall_timeout)
     }
 
     fn serve(&self, open: &OpenRequest, cancel: CancelToken, window: Arc<CreditWindow>) {
-        let answer = self.answer(open.attempt, window);
+        let response = self.response(open.attempt, window);
         let guard = match self.core.open_request() {
             Ok(guard) => guard,
-            Err(error) => return answer.fail(&error),
+            Err(error) => return response.fail(&error),
         };
         let context = match request_context(&self.core, open, cancel) {
             Ok(context) => context,
-            Err(error) => return answer.fail(&error),
+            Err(error) => return response.fail(&error),
         };
-        let sink = ResponseSink::Peer(answer);
+        let sink = ResponseSink::Peer(response);
         let is_ticket = open.mode == i32::from(OpenMode::Ticket);
         if is_ticket {
             self.serve_ticket(open, &context, sink);
--- a/crates/entry/src/peer/reply.rs
+++ b/crates/entry/src/peer/reply.rs
@@ -8,8 +8,8 @@
 use onyxfall_types::{RequestError, RunVerdict};
 use onyxfall_wire::{CreditWindow, PeerPayload, ReplyData, ReplyEnd, ReplyHead, frame_cost};
 
-use crate::answer::{ResponseHead, SinkGone};
 use crate::peer::link::PeerLink;
+use crate::response::{ResponseHead, SinkGone};
 
 /// Largest payload of a data frame.
 const MAX_DATA: usize = 64 * 1024;
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/response.rs
@@ -47,10 +47,10 @@
     /// started.
     pub(crate) fn head(&mut self, head: ResponseHead) -> Result<(), SinkGone> {
         match self {
-            Self::Caller(answer) => answer.head(head),
-            Self::Peer(answer) => answer.head(&head),
-            Self::Memory(answer) => {
-                *answer = MemoryResponse {
+            Self::Caller(response) => response.head(head),
+            Self::Peer(response) => response.head(&head),
+            Self::Memory(response) => {
+                *response = MemoryResponse {
                     head: Some(head),
                     body: BytesMut::new(),
                 };
@@ -61,16 +61,16 @@
 
     /// Records the region that serves the request, which is reported to the caller.
     pub(crate) fn set_region(&mut self, region: &RegionName) {
-        if let Self::Caller(answer) = self {
-            answer.region = Some(region.clone());
+        if let Self::Caller(response) = self {
+            response.region = Some(region.clone());
         }
     }
 
     /// When the first bytes of the response arrived.
     pub(crate) fn first_byte(&self) -> Option<BootInstant> {
         match self {
-            Self::Caller(answer) => answer.first_byte,
-            Self::Peer(answer) => answer.first_byte(),
+            Self::Caller(response) => response.first_byte,
+            Self::Peer(response) => response.first_byte(),
             Self::Memory(_) => None,
         }
     }
@@ -78,10 +78,10 @@
     /// Appends bytes to the body.
     pub(crate) fn data(&mut self, bytes: Bytes) -> Result<(), SinkGone> {
         match self {
-            Self::Caller(answer) => answer.data(bytes),
-            Self::Peer(answer) => answer.data(bytes),
-            Self::Memory(answer) => {
-                answer.body.extend_from_slice(&bytes);
+            Self::Caller(response) => response.data(bytes),
+            Self::Peer(response) => response.data(bytes),
+            Self::Memory(response) => {
+                response.body.extend_from_slice(&bytes);
                 Ok(())
             }
         }
@@ -90,8 +90,8 @@
     /// Whether a part of the response has been sent.
     pub(crate) fn is_started(&self) -> bool {
         match self {
-            Self::Caller(answer) => answer.stream.is_some(),
-            Self::Peer(answer) => answer.is_started(),
+            Self::Caller(response) => response.stream.is_some(),
+            Self::Peer(response) => response.is_started(),
             Self::Memory(_) => false,
         }
     }
@@ -99,8 +99,8 @@
     /// Time spent waiting for a slow receiver.
     pub(crate) fn stalled(&self) -> Duration {
         match self {
-            Self::Caller(answer) => answer.stalled,
-            Self::Peer(answer) => answer.stalled(),
+            Self::Caller(response) => response.stalled,
+            Self::Peer(response) => response.stalled(),
             Self::Memory(_) => Duration::ZERO,
         }
     }
@@ -108,8 +108,8 @@
     /// Completes the response.
     pub(crate) fn finish(self) -> Result<(), SinkGone> {
         match self {
-            Self::Caller(answer) => answer.finish(),
-            Self::Peer(answer) => answer.finish(),
+            Self::Caller(response) => response.finish(),
+            Self::Peer(response) => response.finish(),
             Self::Memory(_) => Ok(()),
         }
     }
@@ -117,8 +117,8 @@
     /// Ends the response with an error; one that was started is cut off.
     pub(crate) fn fail(self, error: &RequestError) {
         match self {
-            Self::Caller(answer) => answer.fail(error),
-            Self::Peer(answer) => answer.fail(error),
+            Self::Caller(response) => response.fail(error),
+            Self::Peer(response) => response.fail(error),
             Self::Memory(_) => {}
         }
     }
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -22,10 +22,10 @@
     CenterName, KindName, RefusalReason, RegionName, RequestError, RunVerdict, ServerId, ServerName,
 };
 
-use crate::answer::ResponseSink;
 use crate::backend::{AttemptError, BackendCall, run_attempt};
 use crate::core::{ArrivalStep, EntryCore, WakeUp};
 use crate::peer::{ForwardCall, run_forward};
+use crate::response::ResponseSink;
 use crate::trace::header_of;
 
 const BACKOFF: BackoffCurve = BackoffCurve {
