--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -12,8 +12,9 @@
 use http::{Request, Response, StatusCode};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming};
-use onyxfall_adapter::standin::{
-    ReceivedCall, ask_rest, mark_not_run, received_call, say_leaving, say_limit, sign_answer,
+use onyxfall_adapter::stub::{
+    ReceivedCall, mark_draining, mark_not_run, received_call, set_retry_after, set_server_limit,
+    sign_response,
 };
 use parking_lot::Mutex;
 use tokio::time::{Instant as TimerInstant, Sleep};
@@ -282,16 +283,16 @@
     let mut response = if let Some(rest) = said.rest {
         let mut refusal = whole(StatusCode::SERVICE_UNAVAILABLE, "");
         mark_not_run(refusal.headers_mut());
-        ask_rest(refusal.headers_mut(), rest.seconds);
+        set_retry_after(refusal.headers_mut(), rest.seconds);
         refusal
     } else {
         run(Arc::clone(&state), crash, &head, call, body).await?
     };
     if said.is_leaving {
-        say_leaving(response.headers_mut());
+        mark_draining(response.headers_mut());
     }
     if let Some(limit) = said.limit {
-        say_limit(response.headers_mut(), limit);
+        set_server_limit(response.headers_mut(), limit);
     }
     // A request that gets no answer is told nothing.
     state.lock().arrivals[number - 1].said = said;
@@ -363,7 +364,7 @@
         ServerFailing::Stray => "somebody-else",
         _ => &call.request_id,
     };
-    sign_answer(response.headers_mut(), id);
+    sign_response(response.headers_mut(), id);
     Ok(response)
 }
 
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -12,9 +12,9 @@
 use http_body_util::BodyExt;
 use http_body_util::Full;
 use hyper::body::Incoming;
-use onyxfall_adapter::standin::{
+use onyxfall_adapter::stub::{
     PAGE_ITEMS, StoreCall, StoreWrite, batch_body, is_store_write, page_body, read_store_call,
-    read_store_write, say_era, written_body,
+    read_store_write, set_store_era, written_body,
 };
 use onyxfall_fleet::{StoreEvent, StoreItem};
 use onyxfall_types::StoreEra;
@@ -229,7 +229,7 @@
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let mut response = answer_call(&shared, request).await?;
     let era = StoreEra::new(shared.state.lock().era);
-    say_era(response.headers_mut(), era);
+    set_store_era(response.headers_mut(), era);
     Ok(response)
 }
 
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -12,8 +12,8 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use onyxfall_adapter::{
-    ResponseKind, idle_limit, parse_signals, read_answer, set_copy_to, set_expected_server,
-    set_team, set_time_left, set_urgency,
+    ResponseKind, classify_response, keep_alive_timeout, parse_signals, set_copy_to,
+    set_expected_server, set_team, set_time_left, set_urgency,
 };
 use onyxfall_fleet::{AttemptResult, ChoiceReason, DecisionSwitch, TimePrediction};
 use onyxfall_types::{RunVerdict, ServerId};
@@ -76,7 +76,7 @@
         }
         let is_whole = matches!(result, AttemptResult::Succeeded | AttemptResult::Failed);
         if is_whole {
-            let limit = idle_limit(&self.headers);
+            let limit = keep_alive_timeout(&self.headers);
             gateway.pool.put(self.address, self.connection, limit);
         }
     }
@@ -156,7 +156,7 @@
             return failure.into_end();
         }
     };
-    let kind = read_answer(response.status(), response.headers(), &call.request_id);
+    let kind = classify_response(response.status(), response.headers(), &call.request_id);
     if kind != ResponseKind::WrongServer {
         let word = parse_signals(response.status(), response.headers());
         gateway.record_signals(call, target.id, word);
@@ -235,7 +235,7 @@
             },
         };
     }
-    match read_answer(response.status(), response.headers(), &call.request_id) {
+    match classify_response(response.status(), response.headers(), &call.request_id) {
         ResponseKind::Signed => AttemptEnd::Answer(Box::new(upstream(
             connection,
             response,
@@ -415,7 +415,7 @@
     let rest = Limited::new(body, REFUSAL_BODY_LIMIT).collect();
     let read = tokio::time::timeout(REFUSAL_BODY_WAIT, rest).await;
     if matches!(read, Ok(Ok(_))) {
-        let limit = idle_limit(&head.headers);
+        let limit = keep_alive_timeout(&head.headers);
         gateway.pool.put(address, connection, limit);
     }
 }
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -50,7 +50,7 @@
 fn reload(gateway: &Gateway, path: &Path) {
     match load_settings(path) {
         Ok(settings) => {
-            onyxfall_clock::move_on(settings.ahead);
+            onyxfall_clock::advance_clock(settings.ahead);
             gateway.set_settings(settings);
             gateway.check_suspension(BootInstant::now());
             log::info!("settings reloaded");
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use onyxfall_adapter::{WriteEnd, read_write, rollout_request};
+use onyxfall_adapter::{WriteOutcome, read_write, rollout_request};
 use onyxfall_fleet::{AttemptResult, LocalOption, PrefillTokens, WorkShare};
 use onyxfall_overlay::{ServerTag, WorkEntry};
 use onyxfall_policy::Moment;
@@ -341,14 +341,17 @@
     });
 }
 
-async fn send_write(client: &mut StoreClient, write: &RolloutWrite) -> Result<WriteEnd, CallError> {
+async fn send_write(
+    client: &mut StoreClient,
+    write: &RolloutWrite,
+) -> Result<WriteOutcome, CallError> {
     let request = rollout_request(&client.host(), write)?;
     let reply = client.call(request, Duration::ZERO, "rollout").await?;
     Ok(read_write(reply.status)?)
 }
 
-fn tell_write(write: &RolloutWrite, end: WriteEnd) {
-    let made = end == WriteEnd::Done;
+fn tell_write(write: &RolloutWrite, end: WriteOutcome) {
+    let made = end == WriteOutcome::Done;
     match write {
         RolloutWrite::Record {
             service, record, ..
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use http::{HeaderMap, Response, StatusCode};
 use http_body_util::{BodyExt, Limited};
-use onyxfall_adapter::{answer_headers, set_last_event};
+use onyxfall_adapter::{response_headers, set_last_event};
 use onyxfall_fleet::{AttemptResult, TimePrediction};
 use onyxfall_types::{RefusalReason, RequestError, RunVerdict, ServerId, VmName};
 
@@ -337,7 +337,7 @@
     };
     let whole = WholeAnswer {
         status: answer.status,
-        headers: answer_headers(&answer.headers),
+        headers: response_headers(&answer.headers),
         body: collected.to_bytes(),
     };
     let result = if whole.status.is_server_error() {
@@ -362,7 +362,7 @@
     progress: CallProgress,
     answer: Box<UpstreamResponse>,
 ) -> Response<ReplyBody> {
-    let (status, headers) = (answer.status, answer_headers(&answer.headers));
+    let (status, headers) = (answer.status, response_headers(&answer.headers));
     let relay = StreamRelay::new(gateway, call, progress, answer);
     let mut response = Response::new(ReplyBody::Stream(Box::new(relay)));
     *response.status_mut() = status;
--- a/crates/gateway/tests/crashing.rs
+++ b/crates/gateway/tests/crashing.rs
@@ -27,7 +27,7 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use onyxfall_adapter::standin::is_signed;
+use onyxfall_adapter::stub::is_signed;
 use onyxfall_fakes::{CRASHING_BODY, ServerFailing, ServerStandIn};
 use support::{Gateway, Reply, Site, call, call_from, wait_for};
 
--- a/crates/gateway/tests/entries.rs
+++ b/crates/gateway/tests/entries.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::Duration;
 
-use onyxfall_adapter::standin::{ForeignEntry, foreign_entries, server_key};
+use onyxfall_adapter::stub::{MalformedEntry, malformed_entries, server_key};
 use onyxfall_fakes::{CRASHING_BODY, ServerStandIn};
 use support::{Site, call, call_from, record, wait_for};
 
@@ -72,9 +72,9 @@
     let good = ServerStandIn::start(site.ip(0)).unwrap();
     let foreign = ServerStandIn::start(site.ip(0)).unwrap();
     let own_record = record("foreign", &foreign, 5);
-    let left = foreign_entries(&own_record);
+    let left = malformed_entries(&own_record);
     assert_eq!(left.len(), FOREIGN_KINDS);
-    let ForeignEntry { name, text } = left[kind].clone();
+    let MalformedEntry { name, text } = left[kind].clone();
     site.put(&record("good", &good, 5));
     site.put(&own_record);
     site.configure(1);
--- a/crates/gateway/tests/failings.rs
+++ b/crates/gateway/tests/failings.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write as _;
 use std::thread;
 
-use onyxfall_adapter::standin::is_signed;
+use onyxfall_adapter::stub::is_signed;
 use onyxfall_fakes::{ServerFailing, ServerStandIn};
 use support::{ServingSite, Site, call, wait_for};
 
@@ -218,7 +218,7 @@
     server.set_failing(ServerFailing::Mute);
     let before = server.runs().len();
     let mut stream = std::net::TcpStream::connect(gateway.callers()).unwrap();
-    let headers = onyxfall_adapter::standin::caller_headers(
+    let headers = onyxfall_adapter::stub::caller_headers(
         support::HOST,
         "leaver",
         std::time::Duration::from_secs(3),
--- a/crates/gateway/tests/large_copy.rs
+++ b/crates/gateway/tests/large_copy.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use http::StatusCode;
-use onyxfall_adapter::standin::{long_server_body, server_body, server_key};
+use onyxfall_adapter::stub::{long_server_body, server_body, server_key};
 use onyxfall_fakes::ServerStandIn;
 use onyxfall_fleet::ServerRecord;
 use support::{Site, call, get, record, wait_for};
--- a/crates/gateway/tests/rollouts.rs
+++ b/crates/gateway/tests/rollouts.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use onyxfall_adapter::standin::{order_body, order_key, read_status, status_key};
+use onyxfall_adapter::stub::{order_body, order_key, read_status, status_key};
 use onyxfall_fakes::{ServerFailing, ServerStandIn, StoreMode};
 use support::{Gateway, SERVICE, Site, call, record, wait_for};
 
--- a/crates/gateway/tests/store.rs
+++ b/crates/gateway/tests/store.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use onyxfall_adapter::standin::{config_key, server_key};
+use onyxfall_adapter::stub::{config_key, server_key};
 use onyxfall_fakes::{ServerStandIn, StoreMode};
 use onyxfall_fleet::ServerPhase;
 use support::{ServingSite, Site, call, get, wait_for};
@@ -31,7 +31,7 @@
         server,
         site,
     } = ServingSite::start_at(5);
-    let older = onyxfall_adapter::standin::document_body(4, &[], &[]);
+    let older = onyxfall_adapter::stub::document_body(4, &[], &[]);
     site.store.put(config_key(), older);
     // Later items are seen after the older configuration was.
     let second = ServerStandIn::start(site.ip(0)).unwrap();
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -17,7 +17,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
-use onyxfall_adapter::standin::{
+use onyxfall_adapter::stub::{
     RouteShape, RouteText, ServiceText, TeamText, caller_headers, config_key, document_body,
     document_with_teams, server_body, server_key,
 };
--- a/crates/gateway/tests/teams.rs
+++ b/crates/gateway/tests/teams.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Method, StatusCode};
-use onyxfall_adapter::standin::{TeamText, caller_headers, claim_team};
+use onyxfall_adapter::stub::{TeamText, caller_headers, claim_team};
 use onyxfall_fakes::ServerStandIn;
 use support::{Gateway, HOST, Reply, SERVICE, Site, get, send, wait_for};
 
@@ -256,7 +256,7 @@
     let torn = format!("{{\"Version\":3,\"Tenants\":[{{\"ApiKeys\":[\"{KEY}\"");
     site.site
         .store
-        .put(onyxfall_adapter::standin::config_key(), torn);
+        .put(onyxfall_adapter::stub::config_key(), torn);
     wait_for("the torn document to be seen", || {
         site.gateways
             .iter()
--- a/crates/gateway/tests/watchers.rs
+++ b/crates/gateway/tests/watchers.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use onyxfall_adapter::standin::{RouteShape, RouteText, ServiceText, config_key, document_body};
+use onyxfall_adapter::stub::{RouteShape, RouteText, ServiceText, config_key, document_body};
 use onyxfall_fakes::ServerStandIn;
 use support::{Gateway, Site, call, wait_for};
 
@@ -49,8 +49,8 @@
 
 /// Writes a configuration without routes, which shows as 404.
 fn withdraw_routes(site: &Site, version: u64) {
-    let body = onyxfall_adapter::standin::document_body(version, &[], &[]);
-    let key = onyxfall_adapter::standin::config_key();
+    let body = onyxfall_adapter::stub::document_body(version, &[], &[]);
+    let key = onyxfall_adapter::stub::config_key();
     site.store.put(key, body);
 }
 
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use onyxfall_adapter::standin::ReceivedCall;
+use onyxfall_adapter::stub::ReceivedCall;
 use onyxfall_fakes::ServerStandIn;
 
 use crate::callers::CallReport;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -319,8 +319,8 @@
             .collect();
         let mut lives = Vec::new();
         for (server, state) in self.world.servers.iter().enumerate() {
-            for (life, standin) in state.lock().lives.iter().enumerate() {
-                let arrivals = standin.arrivals_from(0);
+            for (life, stub) in state.lock().lives.iter().enumerate() {
+                let arrivals = stub.arrivals_from(0);
                 lives.push(LifeArrivals {
                     server,
                     life,
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -9,9 +9,9 @@
 use std::process::{Child, Command, ExitStatus};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use onyxfall_adapter::standin::{
-    RouteShape, RouteText, ServiceText, TeamText, config_key, document_with_teams, foreign_entries,
-    server_body, server_key,
+use onyxfall_adapter::stub::{
+    RouteShape, RouteText, ServiceText, TeamText, config_key, document_with_teams,
+    malformed_entries, server_body, server_key,
 };
 use onyxfall_fakes::{AskedRest, SaidWord, ServerStandIn, StoreStandIn};
 use onyxfall_fleet::{ServerPhase, ServerRecord, StartTime};
@@ -169,10 +169,10 @@
             .collect::<io::Result<_>>()?;
         let servers = (0..size.servers)
             .map(|server| {
-                let standin = ServerStandIn::start(stand_in_ip())?;
-                standin.set_name(&server_name(server, 1));
-                let link = HarmedLink::start(stand_in_ip(), standin.address())?;
-                let lives = vec![standin];
+                let stub = ServerStandIn::start(stand_in_ip())?;
+                stub.set_name(&server_name(server, 1));
+                let link = HarmedLink::start(stand_in_ip(), stub.address())?;
+                let lives = vec![stub];
                 Ok(Mutex::new(SoakServer {
                     life: 1,
                     born: unix_millis(),
@@ -304,17 +304,17 @@
     /// address is given on only after its server has ended, so that no connection is left
     /// on which the former life could answer requests that are meant for the new one.
     pub(crate) fn succeed(&self, server: usize) -> io::Result<()> {
-        let standin = ServerStandIn::start(stand_in_ip())?;
+        let stub = ServerStandIn::start(stand_in_ip())?;
         let old = server_name(server, self.servers[server].lock().life);
         self.store.delete(&server_key(&old));
         {
             let mut state = self.servers[server].lock();
-            standin.set_name(&server_name(server, state.life + 1));
+            stub.set_name(&server_name(server, state.life + 1));
             if let Some(before) = state.lives.last() {
                 before.crash();
             }
-            state.link.set_target(standin.address());
-            state.lives.push(standin);
+            state.link.set_target(stub.address());
+            state.lives.push(stub);
             state.life += 1;
             state.word = SaidWord::default();
             state.born = unix_millis().max(state.born + 1);
@@ -325,15 +325,15 @@
 
     /// Crashes a server; it starts again at once, under its name.
     pub(crate) fn restart(&self, server: usize) -> io::Result<()> {
-        let standin = ServerStandIn::start(stand_in_ip())?;
+        let stub = ServerStandIn::start(stand_in_ip())?;
         {
             let mut state = self.servers[server].lock();
-            standin.set_name(&server_name(server, state.life));
+            stub.set_name(&server_name(server, state.life));
             if let Some(before) = state.lives.last() {
                 before.crash();
             }
-            state.link.set_target(standin.address());
-            state.lives.push(standin);
+            state.link.set_target(stub.address());
+            state.lives.push(stub);
             state.word = SaidWord::default();
             state.born = unix_millis().max(state.born + 1);
         }
@@ -367,7 +367,7 @@
     /// Leaves something in a server's entry that is none.
     pub(crate) fn spoil(&self, server: usize, kind: usize) {
         let record = self.record(server, ServerPhase::Ready);
-        let kinds = foreign_entries(&record);
+        let kinds = malformed_entries(&record);
         let left = kinds[kind % kinds.len()].text.clone();
         self.store.put(&server_key(record.name.as_str()), left);
     }
