--- a/crates/http/src/reply.rs
+++ b/crates/http/src/reply.rs
@@ -159,7 +159,7 @@
     }
 }
 
-/// Cancels its token on drop, unless [`Self::disarm`] was called after the whole response.
+/// Cancels its token on drop, unless [`Self::disarm`] was called for a complete response.
 pub(crate) struct CancelOnDrop {
     token: Option<CancelToken>,
 }
