--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -23,45 +23,45 @@
 
 /// What a server does with a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ServerFailing {
+pub enum ServerFault {
     /// Runs it and answers whole.
     #[default]
     None,
     /// Runs it and answers with a failure of its own.
     Fails,
     /// Does not run it and says so.
-    Sheds,
+    Rejects,
     /// Is another life than the one that is meant, and says so.
     Replaced,
     /// Runs it and closes the connection without an answer.
     Closes,
     /// Runs it and gives the answer of another request.
-    Stray,
+    WrongResponse,
     /// Runs it and breaks its answer off after the first event.
-    BreaksOff,
+    Disconnects,
     /// Runs it and never answers.
-    Mute,
+    Unresponsive,
     /// Breaks off the streams that begin here, but goes on with others' runs whose copy
     /// it holds.
-    Dies(DeathMoment),
+    BreaksStreams(BreakPoint),
     /// The same, and has lost the copies that it held.
-    DiesWithCopies,
+    BreaksAndLosesBackups,
 }
 
 /// What a server says of itself in its answers, whatever it does with requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SaidWord {
+pub struct StubSignals {
     /// Every answer says that it leaves.
     pub is_leaving: bool,
     /// It turns requests away and asks for a rest of so many seconds.
-    pub rest: Option<AskedRest>,
+    pub rest: Option<RequestedBackoff>,
     /// Every answer names the requests a second that it takes, as the header has them.
     pub limit: Option<&'static str>,
 }
 
 /// The rest that a server asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AskedRest {
+pub struct RequestedBackoff {
     /// Seconds, as the header has them.
     pub seconds: &'static str,
     /// It turns away each so-many-th request.
@@ -78,7 +78,7 @@
     /// Id of the caller's attempt.
     pub request_id: String,
     /// What the answer to it said of the stand-in.
-    pub said: SaidWord,
+    pub said: StubSignals,
 }
 
 /// Body of a request that crashes the server that runs it.
@@ -89,7 +89,7 @@
 
 /// When a stream is broken off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DeathMoment {
+pub enum BreakPoint {
     /// Before its first event.
     BeforeEvents,
     /// After its first event.
@@ -115,11 +115,11 @@
 
 #[derive(Default)]
 struct ServerState {
-    failing: ServerFailing,
+    failing: ServerFault,
     /// Name of its life; requests for another one are turned away.
     name: Option<String>,
     address: Option<SocketAddr>,
-    word: SaidWord,
+    word: StubSignals,
     arrivals: Vec<ArrivedRequest>,
     runs: Vec<ReceivedRequest>,
     /// Answers that were under way when their connection closed.
@@ -129,7 +129,7 @@
 }
 
 /// A running stand-in of a server.
-pub struct ServerStandIn {
+pub struct ServerStub {
     state: Arc<Mutex<ServerState>>,
     thread: ServingThread,
 }
@@ -145,7 +145,7 @@
 /// Path below which answers are streams.
 const STREAM_PATH: &str = "/stream/";
 
-impl ServerStandIn {
+impl ServerStub {
     /// Starts it on a free port of `ip`.
     ///
     /// # Errors
@@ -175,7 +175,7 @@
     }
 
     /// Sets what it does with requests.
-    pub fn set_failing(&self, failing: ServerFailing) {
+    pub fn set_fault(&self, failing: ServerFault) {
         self.state.lock().failing = failing;
     }
 
@@ -185,7 +185,7 @@
     }
 
     /// Sets what it says of itself.
-    pub fn set_word(&self, word: SaidWord) {
+    pub fn set_signals(&self, word: StubSignals) {
         self.state.lock().word = word;
     }
 
@@ -260,7 +260,7 @@
         at: Instant::now(),
         from: from.map_or(Ipv4Addr::UNSPECIFIED.into(), |peer| peer.0.ip()),
         request_id: call.request_id.clone(),
-        said: SaidWord::default(),
+        said: StubSignals::default(),
     });
     state.arrivals.len()
 }
@@ -308,17 +308,17 @@
 ) -> Result<Response<EventBody>, io::Error> {
     let failing = state.lock().failing;
     match failing {
-        ServerFailing::Sheds => {
+        ServerFault::Rejects => {
             let mut refusal = whole(StatusCode::SERVICE_UNAVAILABLE, "");
             mark_not_run(refusal.headers_mut());
             return Ok(refusal);
         }
-        ServerFailing::Replaced => return Ok(whole(StatusCode::MISDIRECTED_REQUEST, "")),
+        ServerFault::Replaced => return Ok(whole(StatusCode::MISDIRECTED_REQUEST, "")),
         _ => {}
     }
     let address = state.lock().address;
     if let (Some(run), Some(address)) = (&call.copy_from, address)
-        && (!take_copy(address, run) || failing == ServerFailing::DiesWithCopies)
+        && (!take_copy(address, run) || failing == ServerFault::BreaksAndLosesBackups)
     {
         let mut refusal = whole(StatusCode::SERVICE_UNAVAILABLE, "");
         mark_not_run(refusal.headers_mut());
@@ -344,14 +344,14 @@
         is_over: false,
     };
     let mut response = match failing {
-        ServerFailing::Fails => whole(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
-        ServerFailing::Closes => {
+        ServerFault::Fails => whole(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
+        ServerFault::Closes => {
             guard.is_over = true;
             return Err(io::Error::other("closed by the stand-in"));
         }
-        ServerFailing::Mute => std::future::pending().await,
+        ServerFault::Unresponsive => std::future::pending().await,
         _ if is_stream => {
-            Response::new(EventBody::stream(&call, failing, guard).ending_never(is_crashing))
+            Response::new(EventBody::stream(&call, failing, guard).with_endless(is_crashing))
         }
         _ if is_crashing => std::future::pending().await,
         _ => {
@@ -360,7 +360,7 @@
         }
     };
     let id = match failing {
-        ServerFailing::Stray => "somebody-else",
+        ServerFault::WrongResponse => "somebody-else",
         _ => &call.request_id,
     };
     sign_answer(response.headers_mut(), id);
@@ -391,7 +391,7 @@
     guard: Option<CutGuard>,
 }
 
-impl DeathMoment {
+impl BreakPoint {
     /// Leaves what is sent before it.
     fn cut(self, events: &mut Vec<&'static str>) {
         match self {
@@ -419,21 +419,21 @@
         }
     }
 
-    fn stream(call: &ReceivedCall, failing: ServerFailing, guard: CutGuard) -> Self {
+    fn stream(call: &ReceivedCall, failing: ServerFault, guard: CutGuard) -> Self {
         let sent = call.last_event.as_deref().and_then(|id| id.parse().ok());
         let mut events = EVENTS[sent.unwrap_or(0)..].to_vec();
         let begins_here = call.copy_from.is_none();
         let breaks = match failing {
-            ServerFailing::BreaksOff => {
+            ServerFault::Disconnects => {
                 events.truncate(1);
                 true
             }
-            ServerFailing::Dies(moment) if begins_here => {
+            ServerFault::BreaksStreams(moment) if begins_here => {
                 moment.cut(&mut events);
                 true
             }
-            ServerFailing::DiesWithCopies if begins_here => {
-                DeathMoment::AfterEvent.cut(&mut events);
+            ServerFault::BreaksAndLosesBackups if begins_here => {
+                BreakPoint::AfterEvent.cut(&mut events);
                 true
             }
             _ => false,
@@ -450,7 +450,7 @@
 
 impl EventBody {
     /// Holds the last event back: the server crashes before.
-    fn ending_never(self, is_endless: bool) -> Self {
+    fn with_endless(self, is_endless: bool) -> Self {
         Self { is_endless, ..self }
     }
 }
--- a/crates/gateway/tests/watchers.rs
+++ b/crates/gateway/tests/watchers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use onyxfall_adapter::standin::{RouteShape, RouteText, ServiceText, config_key, document_body};
-use onyxfall_fakes::ServerStandIn;
+use onyxfall_fakes::ServerStub;
 use support::{Gateway, Site, call, wait_for};
 
 /// VMs of the region, all in one.
@@ -15,9 +15,9 @@
 /// Looks in a row for which a state must hold to count as steady.
 const STEADY_LOOKS: usize = 40;
 
-fn start() -> (Vec<Gateway>, ServerStandIn, Site) {
+fn start() -> (Vec<Gateway>, ServerStub, Site) {
     let site = Site::start_in(VMS, 1);
-    let server = ServerStandIn::start(site.ip(0)).unwrap();
+    let server = ServerStub::start(site.ip(0)).unwrap();
     site.announce("s0", &server, 0);
     site.configure(1);
     let gateways: Vec<Gateway> = (0..usize::from(VMS)).map(|vm| site.gateway(vm)).collect();
@@ -88,9 +88,9 @@
 fn a_watch_that_brings_nothing_is_given_up_once_others_know_more() {
     let (gateways, _server, site) = start();
     wait_watched(&site);
-    site.store.deafen_next_watch();
+    site.store.stall_next_watch();
     wait_for("a watch that waits for ever", || {
-        !site.store.awaits_deaf_watch()
+        !site.store.awaits_stalled_watch()
     });
     let before = site.store.answered_watches();
     withdraw_routes(&site, 2);
