--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -5,7 +5,6 @@
 //! borrowed for a decision and never across an await. Only log output has a thread of its
 //! own.
 
-mod asking;
 mod attempt;
 mod backup;
 mod body;
@@ -20,7 +19,6 @@
 mod links;
 mod listen;
 mod metrics;
-mod news;
 mod open;
 mod pool;
 mod relay;
@@ -33,14 +31,16 @@
 mod share;
 mod shutdown;
 mod signals;
-mod silence;
 mod store;
+mod store_changes;
 mod store_client;
 mod stream;
 mod suspects;
 mod suspension;
 mod teams;
+mod unresponsive;
 mod updates;
+mod work_queries;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
