--- a/crates/operator/src/context.rs
+++ b/crates/operator/src/context.rs
@@ -145,7 +145,7 @@
             .compare_and_swap(key, Expected::Absent, value, None)
         {
             Ok(SwapOutcome::Swapped(_)) => Ok(()),
-            Ok(SwapOutcome::Lost(found)) => {
+            Ok(SwapOutcome::Conflict(found)) => {
                 let value_found = found.as_ref().map(|f| f.value.as_str());
                 same_value(key, value_found, value)
             }
--- a/crates/operator/src/head.rs
+++ b/crates/operator/src/head.rs
@@ -87,7 +87,7 @@
             .compare_and_swap(&self.keys.head(), expected, &text, None)
         {
             Ok(SwapOutcome::Swapped(_)) => Ok(Some(next)),
-            Ok(SwapOutcome::Lost(_)) => Ok(None),
+            Ok(SwapOutcome::Conflict(_)) => Ok(None),
             Err(e) if e.verdict == RunVerdict::NotRun => Err(e.into()),
             Err(e) => self.resolve_swap(operation, e),
         }
--- a/crates/operator/tests/commands.rs
+++ b/crates/operator/tests/commands.rs
@@ -325,7 +325,10 @@
         ..PlatformSettings::new(bench.platform.url())
     });
     few.get("k").unwrap();
-    assert_eq!(few.get("k").unwrap_err().failure, PlatformFailure::Rationed);
+    assert_eq!(
+        few.get("k").unwrap_err().failure,
+        PlatformFailure::ClientRateLimited
+    );
 }
 
 #[test]
@@ -341,7 +344,7 @@
     let lost = client
         .compare_and_swap("k", Expected::Absent, "2", None)
         .unwrap();
-    assert!(matches!(lost, SwapOutcome::Lost(Some(found)) if found.value == "1"));
+    assert!(matches!(lost, SwapOutcome::Conflict(Some(found)) if found.value == "1"));
     let swapped = client
         .compare_and_swap("k", Expected::At(revision), "3", None)
         .unwrap();
