--- a/crates/bundle/src/sign.rs
+++ b/crates/bundle/src/sign.rs
@@ -65,7 +65,8 @@
     Ok(bytes)
 }
 
-/// An operator's secret key. The type has no `Display` or `Debug`, so that the key is never logged.
+/// An operator's secret key. The type implements neither `Display` nor `Debug`, so
+/// that the key is never logged.
 pub struct SigningSecret(SigningKey);
 
 impl SigningSecret {
--- a/crates/bundle/src/version.rs
+++ b/crates/bundle/src/version.rs
@@ -11,7 +11,8 @@
 use crate::head::RegionRecord;
 use crate::sign::OperatorRing;
 
-/// Version of the head: position in the total order of its changes, increasing by one with each.
+/// Version of the head: position in the total order of its changes, increasing by
+/// one with each.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/operator/src/versions.rs
+++ b/crates/operator/src/versions.rs
@@ -2,8 +2,9 @@
 //!
 //! Each gateway reports its phase of the rollout, which determines where it sends
 //! requests, the weight of the evidence against the new version, and the counts of both
-//! versions that it has received, including those of other VMs. Counts therefore overlap between VMs: the report shows the maximum of each
-//! count over the VMs, and the phase of every VM.
+//! versions that it has received, including those of other VMs. Counts therefore overlap
+//! between VMs: the report shows the maximum of each count over the VMs, and the phase of
+//! every VM.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
