--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -52,7 +52,7 @@
         Ok(settings) => {
             onyxfall_clock::move_on(settings.ahead);
             gateway.set_settings(settings);
-            gateway.look_for_suspension(BootInstant::now());
+            gateway.check_suspension(BootInstant::now());
             log::info!("settings reloaded");
         }
         Err(e) => log::error!(error:% = e; "settings not reloaded; the old ones stay"),
--- a/crates/gateway/tests/crashing.rs
+++ b/crates/gateway/tests/crashing.rs
@@ -48,10 +48,10 @@
 /// Servers of every data centre; those that crash are replaced by new lives.
 struct CrashingFleet<'a> {
     site: &'a Site,
-    lives: Vec<ServerLife>,
+    lives: Vec<ServerInstance>,
 }
 
-struct ServerLife {
+struct ServerInstance {
     name: String,
     vm: usize,
     server: ServerStandIn,
@@ -74,7 +74,7 @@
         let name = format!("life{}", self.lives.len());
         let server = ServerStandIn::start(self.site.ip(vm)).unwrap();
         self.site.announce(&name, &server, vm);
-        self.lives.push(ServerLife {
+        self.lives.push(ServerInstance {
             name,
             vm,
             server,
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -22,7 +22,7 @@
     document_with_teams, server_body, server_key,
 };
 use onyxfall_fakes::{ServerStandIn, StoreStandIn};
-use onyxfall_fleet::{EngineLimits, ServerBirth, ServerPhase, ServerRecord};
+use onyxfall_fleet::{EngineLimits, ServerPhase, ServerRecord, StartTime};
 use tokio::net::TcpSocket;
 
 pub const HOST: &str = "a.example";
@@ -202,7 +202,7 @@
     ) {
         let record = ServerRecord {
             name: name.parse().unwrap(),
-            born: ServerBirth::UNKNOWN,
+            born: StartTime::UNKNOWN,
             service: service.parse().unwrap(),
             version: None,
             address,
@@ -448,7 +448,7 @@
 pub fn record(name: &str, server: &ServerStandIn, born: u64) -> ServerRecord {
     ServerRecord {
         name: name.parse().unwrap(),
-        born: ServerBirth::from_millis(born),
+        born: StartTime::from_millis(born),
         service: SERVICE.parse().unwrap(),
         version: None,
         address: server.address(),
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -14,7 +14,7 @@
     server_body, server_key,
 };
 use onyxfall_fakes::{AskedRest, SaidWord, ServerStandIn, StoreStandIn};
-use onyxfall_fleet::{ServerBirth, ServerPhase, ServerRecord};
+use onyxfall_fleet::{ServerPhase, ServerRecord, StartTime};
 use parking_lot::Mutex;
 use rustix::process::{Pid, Signal, kill_process};
 
@@ -281,7 +281,7 @@
         let name = server_name(server, state.life);
         ServerRecord {
             name: name.parse().expect("a name of letters and digits"),
-            born: ServerBirth::from_millis(state.born),
+            born: StartTime::from_millis(state.born),
             service: SERVICE.parse().expect("a name of letters"),
             version: None,
             address: state.link.address(),
