--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -142,8 +142,8 @@
             status: VmStatus::default(),
         };
         let timing = RosterTiming {
-            silent_after: SILENT_AFTER,
-            fleet_word_life: FLEET_WORD_LIFE,
+            unresponsive_after: SILENT_AFTER,
+            fleet_update_lifetime: FLEET_WORD_LIFE,
             forget_after: FORGET_AFTER,
         };
         let overlay = OverlayNode::new(own, timing, settings.seeds.clone());
@@ -322,7 +322,7 @@
     /// Logs which VMs have come to life or fallen silent.
     fn tell_changes(&self) {
         let mut overlay = self.overlay.borrow_mut();
-        let mut news = overlay.roster_mut().take_news();
+        let mut news = overlay.roster_mut().take_changes();
         news.sort_unstable();
         news.dedup();
         if news.is_empty() {
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -96,8 +96,8 @@
             self.refresh_own_work(now);
         }
         let mut overlay = self.overlay.borrow_mut();
-        let has_news = overlay.has_news(relation, told.link());
-        let is_dense = has_news && self.is_on(DecisionSwitch::NearHeartbeats);
+        let has_changes = overlay.has_changes(relation, told.link());
+        let is_dense = has_changes && self.is_on(DecisionSwitch::NearHeartbeats);
         overlay.plan(now).interval(relation, is_dense)
     }
 }
--- a/crates/gateway/src/updates.rs
+++ b/crates/gateway/src/updates.rs
@@ -136,7 +136,7 @@
 
     /// Sets other VMs' work where it has changed.
     pub(crate) fn apply_work(&self, now: Moment) {
-        let news = self.overlay.borrow_mut().totals_mut().take_news();
+        let news = self.overlay.borrow_mut().totals_mut().take_changes();
         for tag in news {
             let work = self.overlay.borrow().totals().others(tag);
             let server = self.fleet.borrow().find_tag(tag.0);
--- a/crates/overlay/src/node.rs
+++ b/crates/overlay/src/node.rs
@@ -141,10 +141,10 @@
     }
 
     /// Whether there is work to tell in a relation that was not told on a link.
-    pub fn has_news(&self, relation: LinkRelation, link: &LinkState) -> bool {
+    pub fn has_changes(&self, relation: LinkRelation, link: &LinkState) -> bool {
         match relation {
             LinkRelation::Report => self.totals.has_own_news(link.work),
-            LinkRelation::Digest => self.totals.has_news(link.work),
+            LinkRelation::Digest => self.totals.has_changes(link.work),
             _ => true,
         }
     }
--- a/crates/overlay/src/roster.rs
+++ b/crates/overlay/src/roster.rs
@@ -22,10 +22,10 @@
 pub struct RosterTiming {
     /// Silence after which a VM is not taken for alive, and an aggregator's word counts
     /// no longer.
-    pub silent_after: Duration,
+    pub unresponsive_after: Duration,
     /// Age up to which an aggregator's word on the whole fleet counts: longer, so that
     /// its members still know each other when it has died, and find the next one.
-    pub fleet_word_life: Duration,
+    pub fleet_update_lifetime: Duration,
     /// Silence after which a VM is forgotten. Until then it counts where limits are
     /// shared, and is looked for.
     pub forget_after: Duration,
@@ -81,8 +81,8 @@
     /// Whether it counts.
     fn is_fresh(&self, now: Moment, scope: UpdateScope, timing: RosterTiming) -> bool {
         let life = match scope {
-            UpdateScope::Fleet if !self.is_ended => timing.fleet_word_life,
-            _ => timing.silent_after,
+            UpdateScope::Fleet if !self.is_ended => timing.fleet_update_lifetime,
+            _ => timing.unresponsive_after,
         };
         now - self.heard < life
     }
@@ -157,7 +157,7 @@
     }
 
     /// VMs that have come to life or fallen silent since this was last asked.
-    pub fn take_news(&mut self) -> Vec<VmName> {
+    pub fn take_changes(&mut self) -> Vec<VmName> {
         std::mem::take(&mut self.news)
     }
 
@@ -280,10 +280,12 @@
             word.was_fresh = is_fresh;
         }
         for (name, vm) in &mut self.vms {
-            let is_silent = vm.heard.is_none_or(|at| now - at >= timing.silent_after);
+            let is_silent = vm
+                .heard
+                .is_none_or(|at| now - at >= timing.unresponsive_after);
             let is_missed = vm
                 .expected
-                .is_some_and(|since| now - since >= timing.silent_after);
+                .is_some_and(|since| now - since >= timing.unresponsive_after);
             if is_silent && is_missed {
                 vm.muted = Some(now);
             }
@@ -361,7 +363,7 @@
         let Some(known) = self.vms.get(name) else {
             return;
         };
-        let is_heard = |at: Moment| now - at < timing.silent_after;
+        let is_heard = |at: Moment| now - at < timing.unresponsive_after;
         let evidence = if known.heard.is_some_and(is_heard) {
             Evidence::Direct
         } else {
--- a/crates/overlay/src/totals.rs
+++ b/crates/overlay/src/totals.rs
@@ -321,7 +321,7 @@
     }
 
     /// Servers at which other VMs' work has changed since this was last asked.
-    pub fn take_news(&mut self) -> Vec<ServerTag> {
+    pub fn take_changes(&mut self) -> Vec<ServerTag> {
         let mut news = std::mem::take(&mut self.news);
         news.sort_unstable();
         news.dedup();
@@ -371,7 +371,7 @@
     }
 
     /// Whether anybody's work has.
-    pub(crate) fn has_news(&self, told: WorkCursor) -> bool {
+    pub(crate) fn has_changes(&self, told: WorkCursor) -> bool {
         !told.has_seen(self.clock)
     }
 
--- a/crates/overlay/tests/roster.rs
+++ b/crates/overlay/tests/roster.rs
@@ -36,8 +36,8 @@
 
 fn roster() -> Roster {
     let timing = RosterTiming {
-        silent_after: Duration::from_millis(SILENT_MS),
-        fleet_word_life: Duration::from_millis(FLEET_MS),
+        unresponsive_after: Duration::from_millis(SILENT_MS),
+        fleet_update_lifetime: Duration::from_millis(FLEET_MS),
         forget_after: Duration::from_mins(2),
     };
     Roster::new(record(0, 0, 1, 0), timing)
