--- a/crates/clock/src/instant.rs
+++ b/crates/clock/src/instant.rs
@@ -11,7 +11,7 @@
 
 /// Moves the clock of this process on to `ahead` of the machine's, as a suspension would;
 /// it never goes back. For tests: a suspension needs rights that they do not have.
-pub fn move_on(ahead: Duration) {
+pub fn advance_clock(ahead: Duration) {
     let micros = u64::try_from(ahead.as_micros()).unwrap_or(u64::MAX);
     AHEAD.fetch_max(micros, Ordering::Relaxed);
 }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -7,5 +7,5 @@
 mod instant;
 mod suspension;
 
-pub use instant::{BootInstant, move_on};
+pub use instant::{BootInstant, advance_clock};
 pub use suspension::SuspensionWatch;
--- a/crates/entry/src/backend.rs
+++ b/crates/entry/src/backend.rs
@@ -90,7 +90,7 @@
         let detail = format!("the backend server refused with {status}");
         let error = RequestError::not_run(RefusalReason::Overloaded, detail);
         return Err(AttemptError {
-            rest: asked_rest(&response),
+            rest: requested_backoff(&response),
             ..AttemptError::told(error, true)
         });
     }
@@ -114,7 +114,7 @@
 }
 
 /// The rest that a refusal asks for; one that is not understood asks for none.
-fn asked_rest(response: &ureq::http::Response<ureq::Body>) -> Option<Duration> {
+fn requested_backoff(response: &ureq::http::Response<ureq::Body>) -> Option<Duration> {
     let text = response.headers().get("retry-after")?.to_str().ok()?;
     match text.parse::<RetryDelay>() {
         Ok(delay) => Some(delay.time()),
--- a/crates/entry/src/control/beat.rs
+++ b/crates/entry/src/control/beat.rs
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use onyxfall_policy::{CenterDigest, DrainSource, MemberBeat, MemberState, ModelDigest};
+use onyxfall_policy::{CenterDigest, DrainSource, MemberHeartbeat, MemberState, ModelDigest};
 use onyxfall_types::{CenterName, Incarnation, name_tag};
 use onyxfall_wire::{
-    CenterLoad, ContentRequest, ContentText, DrainEntry, EntryBeat, MemberEntry, MemberSet,
+    CenterLoad, ContentRequest, ContentText, DrainEntry, EntryHeartbeat, MemberEntry, MemberSet,
     MembersRequest, ModelLoad, PeerPayload, PingRequest, PongReply, RecordSet, RecordsRequest,
 };
 
@@ -63,7 +63,7 @@
     core.with_router(|router| {
         router.set_members(now, rank, members);
         for name in &changed {
-            router.forget_peer(name);
+            router.evict_peer(name);
         }
     });
     for name in changed {
@@ -91,7 +91,7 @@
 }
 
 /// Members of the own data centre that get beats.
-fn center_peers(core: &EntryCore) -> Vec<MemberBeat> {
+fn center_peers(core: &EntryCore) -> Vec<MemberHeartbeat> {
     let members = core.members.lock();
     let own = members.own().center.clone();
     let speaks_to = |state| !matches!(state, MemberState::Gone);
@@ -112,7 +112,7 @@
 }
 
 /// Dials on a thread of its own, so that a dead peer delays nobody's beat.
-fn send_to(core: &Arc<EntryCore>, peer: &MemberBeat, sequence: u64, payload: PeerPayload) {
+fn send_to(core: &Arc<EntryCore>, peer: &MemberHeartbeat, sequence: u64, payload: PeerPayload) {
     if let Some(link) = core.links.up(&peer.name) {
         link.note_ping(sequence);
         link.send_control(core, payload);
@@ -133,7 +133,7 @@
     }
 }
 
-fn own_beat(core: &EntryCore, sequence: u64) -> EntryBeat {
+fn own_beat(core: &EntryCore, sequence: u64) -> EntryHeartbeat {
     let queues = core.with_router(|router| {
         let bundle = Arc::clone(router.bundle());
         bundle
@@ -178,7 +178,7 @@
     };
     let servers = core.observed.lock().values().cloned().collect();
     let records = core.config.lock().records_hash();
-    EntryBeat {
+    EntryHeartbeat {
         sequence,
         leaving,
         servers,
@@ -199,12 +199,12 @@
     let leaving = core.members.lock().own().leaving;
     let records = core.config.lock().records_hash();
     for target in targets {
-        let beat = EntryBeat {
+        let beat = EntryHeartbeat {
             sequence,
             leaving,
             records,
             receiver_incarnation: target.incarnation.get(),
-            ..EntryBeat::default()
+            ..EntryHeartbeat::default()
         };
         send_to(core, &target, sequence, PeerPayload::Beat(beat));
         if let Some(link) = core.links.up(&target.name)
@@ -216,10 +216,10 @@
 }
 
 /// One entry of each other data centre, the same one while it lives.
-fn load_targets(core: &EntryCore) -> Vec<MemberBeat> {
+fn load_targets(core: &EntryCore) -> Vec<MemberHeartbeat> {
     let table = core.members.lock();
     let own = table.own().center.clone();
-    let mut best: BTreeMap<CenterName, (MemberState, MemberBeat)> = BTreeMap::new();
+    let mut best: BTreeMap<CenterName, (MemberState, MemberHeartbeat)> = BTreeMap::new();
     for member in table.others() {
         let usable = matches!(
             member.state,
@@ -343,7 +343,7 @@
     }
 }
 
-fn take_beat(core: &Arc<EntryCore>, link: &Arc<PeerLink>, beat: &EntryBeat) {
+fn take_beat(core: &Arc<EntryCore>, link: &Arc<PeerLink>, beat: &EntryHeartbeat) {
     link.send_control(
         core,
         PeerPayload::Pong(PongReply {
@@ -351,7 +351,7 @@
         }),
     );
     let now = core.now();
-    let sender = MemberBeat {
+    let sender = MemberHeartbeat {
         leaving: beat.leaving,
         ..link.peer().clone()
     };
@@ -362,7 +362,7 @@
         let told = Incarnation::new(beat.receiver_incarnation);
         members.hear(
             now,
-            &MemberBeat {
+            &MemberHeartbeat {
                 incarnation: told,
                 ..own
             },
@@ -394,7 +394,7 @@
     }
 }
 
-fn take_queues(core: &EntryCore, sender: &MemberBeat, queues: &[ModelLoad]) {
+fn take_queues(core: &EntryCore, sender: &MemberHeartbeat, queues: &[ModelLoad]) {
     let now = core.now();
     let mut open = Vec::new();
     for queue in queues {
@@ -459,7 +459,7 @@
             sequence: load.sequence,
             models: models.collect(),
         };
-        router.hear_center(now, &digest);
+        router.receive_center(now, &digest);
         if load.rtt_us > 0 {
             let rtt = Duration::from_micros(u64::from(load.rtt_us));
             router.centers_mut().note_rtt(id, rtt);
@@ -494,7 +494,7 @@
         let mut members = core.members.lock();
         let is_known = members.serving_hash(center) == hash;
         if is_known {
-            members.hear_center(now, center);
+            members.receive_center(now, center);
         }
         is_known
     };
@@ -531,7 +531,7 @@
     let Ok(center) = set.center.parse::<CenterName>() else {
         return;
     };
-    let beats: Vec<MemberBeat> = set
+    let beats: Vec<MemberHeartbeat> = set
         .members
         .iter()
         .filter_map(MemberEntry::to_beat)
@@ -543,7 +543,7 @@
             members.hint(now, beat);
         }
     } else if !beats.is_empty() {
-        members.hear_members(now, &center, &beats);
+        members.receive_members(now, &center, &beats);
     }
 }
 
--- a/crates/entry/src/control/directory.rs
+++ b/crates/entry/src/control/directory.rs
@@ -1,7 +1,7 @@
 //! Which entries callers should use.
 
 use onyxfall_platform::{VmRecord, VmRole, VmState};
-use onyxfall_policy::{MemberBeat, MemberState, VmMember};
+use onyxfall_policy::{MemberHeartbeat, MemberState, VmMember};
 use onyxfall_types::{RegionName, VmName};
 use serde_json::{Value, json};
 
@@ -12,7 +12,7 @@
 pub(crate) fn entries_for_callers(core: &EntryCore, home: Option<&RegionName>) -> Vec<Value> {
     let members = core.members.lock();
     let own = members.own().clone();
-    let mut beats: Vec<MemberBeat> = members
+    let mut beats: Vec<MemberHeartbeat> = members
         .others()
         .filter(|m| m.state == MemberState::Alive)
         .map(|m| m.beat.clone())
@@ -33,7 +33,7 @@
     beats.iter().map(entry_json).collect()
 }
 
-fn entry_json(beat: &MemberBeat) -> Value {
+fn entry_json(beat: &MemberHeartbeat) -> Value {
     json!({
         "name": beat.name.as_str(),
         "region": beat.region.as_str(),
@@ -57,7 +57,7 @@
     records
 }
 
-fn record_of(beat: &MemberBeat) -> VmRecord {
+fn record_of(beat: &MemberHeartbeat) -> VmRecord {
     VmRecord {
         name: beat.name.to_string(),
         role: VmRole::Entry,
@@ -74,9 +74,9 @@
 }
 
 /// A record of the platform's list as a member that was not heard yet.
-pub(crate) fn beat_of_record(record: &VmRecord) -> Option<MemberBeat> {
+pub(crate) fn beat_of_record(record: &VmRecord) -> Option<MemberHeartbeat> {
     let name: VmName = record.name.parse().ok()?;
-    Some(MemberBeat {
+    Some(MemberHeartbeat {
         name,
         center: record.center.clone(),
         region: record.region.clone(),
--- a/crates/entry/src/control/observe.rs
+++ b/crates/entry/src/control/observe.rs
@@ -187,7 +187,7 @@
             return;
         };
         if load.silent {
-            router.report_silent(now, id);
+            router.report_unresponsive(now, id);
         } else {
             router.report(now, id, &report);
         }
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -13,8 +13,8 @@
 use onyxfall_bundle::{BundleVersion, ServiceBundle};
 use onyxfall_platform::PlatformStore;
 use onyxfall_policy::{
-    AttemptEnd, AttemptOutcome, MemberBeat, MemberTable, Moment, RequestArrival, RequestRouter,
-    RouteStep, StopPhase, StopPlan, TicketLedger, WaitId,
+    AttemptEnd, AttemptOutcome, MemberHeartbeat, MemberTable, Moment, RequestArrival,
+    RequestRouter, RouteStep, ShutdownPhase, ShutdownPlan, TicketLedger, WaitId,
 };
 use onyxfall_types::{Incarnation, RefusalReason, RequestError};
 use onyxfall_wire::ServerLoad;
@@ -71,14 +71,14 @@
     pub(crate) stop_asked: StopSignal,
     router: Mutex<RouterCell>,
     in_force: AtomicU64,
-    stop: Mutex<StopPlan>,
+    stop: Mutex<ShutdownPlan>,
     open: AtomicUsize,
 }
 
 impl EntryCore {
     pub(crate) fn new(
         settings: EntrySettings,
-        own: MemberBeat,
+        own: MemberHeartbeat,
         platform: Arc<dyn PlatformStore>,
     ) -> Self {
         let incarnation = own.incarnation;
@@ -102,7 +102,7 @@
             stop_asked: StopSignal::new(),
             router: Mutex::default(),
             in_force: AtomicU64::new(0),
-            stop: Mutex::new(StopPlan::new(settings.stop_grace, settings.stop_bound)),
+            stop: Mutex::new(ShutdownPlan::new(settings.stop_grace, settings.stop_bound)),
             open: AtomicUsize::new(0),
             settings,
         }
@@ -197,9 +197,9 @@
     }
 
     /// Notes that the server of an attempt wants nothing from this VM for `time`.
-    pub(crate) fn note_rest(&self, attempt: u64, time: Duration) {
+    pub(crate) fn record_backoff(&self, attempt: u64, time: Duration) {
         let now = self.now();
-        self.with_router(|router| router.note_rest(now, attempt, time));
+        self.with_router(|router| router.record_backoff(now, attempt, time));
     }
 
     /// Reports the end of an attempt.
@@ -238,7 +238,7 @@
                 None => true,
             };
             if undelivered
-                && let RouteStep::Run { attempt, .. } | RouteStep::Away { attempt, .. } = step
+                && let RouteStep::Run { attempt, .. } | RouteStep::Forward { attempt, .. } = step
             {
                 let outcome = AttemptOutcome::Cancelled;
                 router.end(
@@ -261,7 +261,7 @@
     }
 
     /// Phase of the stop.
-    pub(crate) fn stop_phase(&self) -> StopPhase {
+    pub(crate) fn stop_phase(&self) -> ShutdownPhase {
         self.stop.lock().phase(self.now(), self.open_requests())
     }
 
@@ -276,7 +276,7 @@
             core: Arc::clone(self),
         };
         self.open.fetch_add(1, Ordering::SeqCst);
-        if self.stop_phase() >= StopPhase::Refusing {
+        if self.stop_phase() >= ShutdownPhase::Refusing {
             let error = RequestError::not_run(RefusalReason::Stopping, "this VM is stopping");
             return Err(error.with_retry_after(Duration::from_secs(1)));
         }
--- a/crates/entry/src/edge/admin.rs
+++ b/crates/entry/src/edge/admin.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use onyxfall_http::{HttpLimits, HttpReply, HttpServer};
-use onyxfall_policy::StopPhase;
+use onyxfall_policy::ShutdownPhase;
 use serde_json::{Value, json};
 
 use crate::core::EntryCore;
@@ -32,7 +32,7 @@
     match path {
         "/metrics" => HttpReply::full(200, "text/plain; version=0.0.4", render_metrics(core)),
         "/healthz" => {
-            let ready = core.bundle().is_some() && core.stop_phase() == StopPhase::Running;
+            let ready = core.bundle().is_some() && core.stop_phase() == ShutdownPhase::Running;
             let status = if ready { 200 } else { 503 };
             HttpReply::full(
                 status,
--- a/crates/entry/src/edge/ticket.rs
+++ b/crates/entry/src/edge/ticket.rs
@@ -192,7 +192,7 @@
 fn check_issuer_region(
     bundle: &onyxfall_bundle::ServiceBundle,
     context: &RequestContext,
-    issuer: &onyxfall_policy::MemberBeat,
+    issuer: &onyxfall_policy::MemberHeartbeat,
 ) -> Result<(), RequestError> {
     let kind_id = bundle
         .kind_id(context.kind.as_str())
--- a/crates/entry/src/peer/away.rs
+++ b/crates/entry/src/peer/away.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use onyxfall_policy::{MemberBeat, MemberState, TicketId};
+use onyxfall_policy::{MemberHeartbeat, MemberState, TicketId};
 use onyxfall_types::{CenterName, RefusalReason, RequestError, RunVerdict};
 use onyxfall_wire::{
     AttemptCancel, CreditGrant, OpenMode, OpenRequest, PeerPayload, ReplyEnd, frame_cost,
@@ -48,9 +48,9 @@
     run_on(core, call, &member, sink)
 }
 
-fn pick_member(core: &EntryCore, center: &CenterName) -> Option<MemberBeat> {
+fn pick_member(core: &EntryCore, center: &CenterName) -> Option<MemberHeartbeat> {
     let members = core.members.lock();
-    let alive: Vec<&MemberBeat> = members.alive_in(center).map(|m| &m.beat).collect();
+    let alive: Vec<&MemberHeartbeat> = members.alive_in(center).map(|m| &m.beat).collect();
     if let Some(beat) = alive.choose(&mut rand::rng()) {
         return Some((*beat).clone());
     }
@@ -64,7 +64,7 @@
 pub(crate) fn run_on(
     core: &Arc<EntryCore>,
     call: &AwayCall<'_>,
-    member: &MemberBeat,
+    member: &MemberHeartbeat,
     sink: &mut AnswerSink,
 ) -> Result<(), AttemptError> {
     let link = core.links.link_to(core, member).map_err(|_| {
--- a/crates/entry/src/peer/convert.rs
+++ b/crates/entry/src/peer/convert.rs
@@ -1,6 +1,6 @@
 //! The first frame of a link.
 
-use onyxfall_policy::MemberBeat;
+use onyxfall_policy::MemberHeartbeat;
 use onyxfall_wire::{MemberEntry, PROTOCOL_VERSION, PeerHello, PeerPayload};
 
 use crate::core::EntryCore;
@@ -20,7 +20,7 @@
 pub(crate) fn check_hello(
     core: &EntryCore,
     payload: Option<PeerPayload>,
-) -> Result<MemberBeat, String> {
+) -> Result<MemberHeartbeat, String> {
     let Some(PeerPayload::Hello(hello)) = payload else {
         return Err("the first frame is not a hello".to_owned());
     };
--- a/crates/entry/src/peer/link.rs
+++ b/crates/entry/src/peer/link.rs
@@ -14,7 +14,7 @@
 
 use crossbeam::channel::{Receiver, Sender, bounded};
 use onyxfall_clock::BootInstant;
-use onyxfall_policy::MemberBeat;
+use onyxfall_policy::MemberHeartbeat;
 use onyxfall_types::VmName;
 use onyxfall_wire::{
     FrameClass, FrameError, FrameWriter, PeerFrame, PeerPayload, ReplyData, ReplyEnd, ReplyHead,
@@ -47,7 +47,7 @@
 
 /// A connection to another entry.
 pub(crate) struct PeerLink {
-    peer: MemberBeat,
+    peer: MemberHeartbeat,
     queue: Sender<PeerFrame>,
     socket: TcpStream,
     streams: Mutex<HashMap<u64, Sender<StreamEvent>>>,
@@ -60,7 +60,7 @@
     /// Takes over a socket after both hellos and starts its writer.
     pub(crate) fn start(
         core: &Arc<EntryCore>,
-        peer: MemberBeat,
+        peer: MemberHeartbeat,
         socket: TcpStream,
         writer: FrameWriter<TcpStream>,
     ) -> Result<Arc<Self>, LinkDown> {
@@ -83,7 +83,7 @@
         Ok(link)
     }
 
-    pub(crate) fn peer(&self) -> &MemberBeat {
+    pub(crate) fn peer(&self) -> &MemberHeartbeat {
         &self.peer
     }
 
--- a/crates/entry/src/peer/links.rs
+++ b/crates/entry/src/peer/links.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use onyxfall_policy::MemberBeat;
+use onyxfall_policy::MemberHeartbeat;
 use onyxfall_types::VmName;
 use onyxfall_wire::{FrameClass, FrameReader, FrameWriter, PeerPayload};
 use parking_lot::Mutex;
@@ -35,7 +35,7 @@
     pub(crate) fn link_to(
         &self,
         core: &Arc<EntryCore>,
-        peer: &MemberBeat,
+        peer: &MemberHeartbeat,
     ) -> Result<Arc<PeerLink>, LinkDown> {
         let slot = Arc::clone(self.slots.lock().entry(peer.name.clone()).or_default());
         let mut place = slot.lock();
@@ -54,7 +54,7 @@
     pub(crate) fn try_link_to(
         &self,
         core: &Arc<EntryCore>,
-        peer: &MemberBeat,
+        peer: &MemberHeartbeat,
     ) -> Result<Arc<PeerLink>, LinkDown> {
         let slot = Arc::clone(self.slots.lock().entry(peer.name.clone()).or_default());
         if slot.try_lock().is_none() {
@@ -102,7 +102,7 @@
     (!link.is_down()).then_some(link)
 }
 
-fn dial(core: &Arc<EntryCore>, peer: &MemberBeat) -> Result<Arc<PeerLink>, String> {
+fn dial(core: &Arc<EntryCore>, peer: &MemberHeartbeat) -> Result<Arc<PeerLink>, String> {
     let stream = connect(core, peer.peer_address).map_err(|e| e.to_string())?;
     let copy = || stream.try_clone().map_err(|e| e.to_string());
     stream
--- a/crates/entry/src/peer/listen.rs
+++ b/crates/entry/src/peer/listen.rs
@@ -220,9 +220,9 @@
         if is_ticket {
             self.serve_ticket(open, &context, sink);
         } else {
-            self.note_from_away(&context, true);
+            self.record_from_remote(&context, true);
             let _ = serve_request(&self.core, &context, sink);
-            self.note_from_away(&context, false);
+            self.record_from_remote(&context, false);
         }
         drop(guard);
     }
@@ -243,14 +243,14 @@
         }
     }
 
-    fn note_from_away(&self, context: &RequestContext, started: bool) {
+    fn record_from_remote(&self, context: &RequestContext, started: bool) {
         let center = self.link.peer().center.clone();
         self.core.with_router(|router| {
             let bundle = Arc::clone(router.bundle());
             let center = bundle.center_id(center.as_str());
             let kind = bundle.kind_id(context.kind.as_str());
             if let (Some(center), Some(kind)) = (center, kind) {
-                router.note_from_away(center, bundle.kinds[kind].model, started);
+                router.record_from_remote(center, bundle.kinds[kind].model, started);
             }
         });
     }
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -7,7 +7,7 @@
 
 use onyxfall_http::{HttpLimits, HttpServer};
 use onyxfall_platform::{PlatformClient, PlatformStore};
-use onyxfall_policy::{MemberBeat, StopPhase};
+use onyxfall_policy::{MemberHeartbeat, ShutdownPhase};
 use onyxfall_types::Incarnation;
 use thiserror::Error;
 
@@ -92,7 +92,7 @@
         let (caller_listener, caller_address) = listen(settings.caller_listen)?;
         let (peer_listener, peer_address) = listen(settings.peer_listen)?;
         let (admin_listener, admin_address) = listen(settings.admin_listen)?;
-        let own = MemberBeat {
+        let own = MemberHeartbeat {
             name: settings.name.clone(),
             center: settings.center.clone(),
             region: settings.region.clone(),
@@ -173,7 +173,7 @@
     /// Returns how many requests were cut off.
     pub fn stop(self) -> usize {
         self.core.ask_stop();
-        while self.core.stop_phase() < StopPhase::Stopped {
+        while self.core.stop_phase() < ShutdownPhase::Stopped {
             thread::sleep(STOP_LOOK);
         }
         let cut = self.core.open_requests();
@@ -201,7 +201,7 @@
 fn hint_seeds(core: &EntryCore) {
     let now = core.now();
     for seed in &core.settings.seeds {
-        let beat = MemberBeat {
+        let beat = MemberHeartbeat {
             name: seed.name.clone(),
             center: seed.center.clone(),
             region: seed.region.clone(),
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -121,7 +121,7 @@
             RouteStep::Run { attempt, server } => {
                 run_here(core, context, attempt, server, sink, &mut history)
             }
-            RouteStep::Away { attempt, center } => {
+            RouteStep::Forward { attempt, center } => {
                 run_there(core, context, attempt, center, sink, &mut history)
             }
             RouteStep::Refuse(error) => return Err(grown(error, &history)),
@@ -337,7 +337,7 @@
     if let Err(failure) = &result
         && let Some(rest) = failure.rest
     {
-        core.note_rest(attempt, rest);
+        core.record_backoff(attempt, rest);
         log::info!(
             "server {} wants no work for {} ms",
             server.name,
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -19,8 +19,8 @@
 pub use link::{FakeLink, LinkRules};
 pub use platform::{FakePlatform, PlatformFaults};
 pub use server::{
-    ArrivedRequest, AskedRest, CRASHING_BODY, DeathMoment, ReceivedRequest, SaidWord,
-    ServerFailing, ServerStandIn,
+    ArrivedRequest, BreakPoint, CRASHING_BODY, ReceivedRequest, RequestedBackoff, ServerFault,
+    ServerStub, StubSignals,
 };
 pub use service::{FakeService, ServiceFaults, ServiceSettings};
-pub use store::{StoreMode, StoreStandIn};
+pub use store::{StoreMode, StoreStub};
--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -12,8 +12,9 @@
 use http::{Request, Response, StatusCode};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming};
-use onyxfall_adapter::standin::{
-    ReceivedCall, ask_rest, mark_not_run, received_call, say_leaving, say_limit, sign_answer,
+use onyxfall_adapter::stub::{
+    ReceivedCall, mark_draining, mark_not_run, received_call, set_retry_after, set_server_limit,
+    sign_response,
 };
 use parking_lot::Mutex;
 use tokio::time::{Instant as TimerInstant, Sleep};
@@ -23,7 +24,7 @@
 
 /// What a server does with a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ServerFailing {
+pub enum ServerFault {
     /// Runs it and answers whole.
     #[default]
     None,
@@ -43,25 +44,25 @@
     Mute,
     /// Breaks off the streams that begin here, but goes on with others' runs whose copy
     /// it holds.
-    Dies(DeathMoment),
+    Dies(BreakPoint),
     /// The same, and has lost the copies that it held.
     DiesWithCopies,
 }
 
 /// What a server says of itself in its answers, whatever it does with requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SaidWord {
+pub struct StubSignals {
     /// Every answer says that it leaves.
     pub is_leaving: bool,
     /// It turns requests away and asks for a rest of so many seconds.
-    pub rest: Option<AskedRest>,
+    pub rest: Option<RequestedBackoff>,
     /// Every answer names the requests a second that it takes, as the header has them.
     pub limit: Option<&'static str>,
 }
 
 /// The rest that a server asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AskedRest {
+pub struct RequestedBackoff {
     /// Seconds, as the header has them.
     pub seconds: &'static str,
     /// It turns away each so-many-th request.
@@ -78,7 +79,7 @@
     /// Id of the caller's attempt.
     pub request_id: String,
     /// What the answer to it said of the stand-in.
-    pub said: SaidWord,
+    pub said: StubSignals,
 }
 
 /// Body of a request that crashes the server that runs it.
@@ -89,7 +90,7 @@
 
 /// When a stream is broken off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DeathMoment {
+pub enum BreakPoint {
     /// Before its first event.
     BeforeEvents,
     /// After its first event.
@@ -115,11 +116,11 @@
 
 #[derive(Default)]
 struct ServerState {
-    failing: ServerFailing,
+    failing: ServerFault,
     /// Name of its life; requests for another one are turned away.
     name: Option<String>,
     address: Option<SocketAddr>,
-    word: SaidWord,
+    word: StubSignals,
     arrivals: Vec<ArrivedRequest>,
     runs: Vec<ReceivedRequest>,
     /// Answers that were under way when their connection closed.
@@ -129,7 +130,7 @@
 }
 
 /// A running stand-in of a server.
-pub struct ServerStandIn {
+pub struct ServerStub {
     state: Arc<Mutex<ServerState>>,
     thread: ServingThread,
 }
@@ -145,7 +146,7 @@
 /// Path below which answers are streams.
 const STREAM_PATH: &str = "/stream/";
 
-impl ServerStandIn {
+impl ServerStub {
     /// Starts it on a free port of `ip`.
     ///
     /// # Errors
@@ -175,7 +176,7 @@
     }
 
     /// Sets what it does with requests.
-    pub fn set_failing(&self, failing: ServerFailing) {
+    pub fn set_fault(&self, failing: ServerFault) {
         self.state.lock().failing = failing;
     }
 
@@ -185,7 +186,7 @@
     }
 
     /// Sets what it says of itself.
-    pub fn set_word(&self, word: SaidWord) {
+    pub fn set_signals(&self, word: StubSignals) {
         self.state.lock().word = word;
     }
 
@@ -260,7 +261,7 @@
         at: Instant::now(),
         from: from.map_or(Ipv4Addr::UNSPECIFIED.into(), |peer| peer.0.ip()),
         request_id: call.request_id.clone(),
-        said: SaidWord::default(),
+        said: StubSignals::default(),
     });
     state.arrivals.len()
 }
@@ -282,16 +283,16 @@
     let mut response = if let Some(rest) = said.rest {
         let mut refusal = whole(StatusCode::SERVICE_UNAVAILABLE, "");
         mark_not_run(refusal.headers_mut());
-        ask_rest(refusal.headers_mut(), rest.seconds);
+        set_retry_after(refusal.headers_mut(), rest.seconds);
         refusal
     } else {
         run(Arc::clone(&state), crash, &head, call, body).await?
     };
     if said.is_leaving {
-        say_leaving(response.headers_mut());
+        mark_draining(response.headers_mut());
     }
     if let Some(limit) = said.limit {
-        say_limit(response.headers_mut(), limit);
+        set_server_limit(response.headers_mut(), limit);
     }
     // A request that gets no answer is told nothing.
     state.lock().arrivals[number - 1].said = said;
@@ -308,17 +309,17 @@
 ) -> Result<Response<EventBody>, io::Error> {
     let failing = state.lock().failing;
     match failing {
-        ServerFailing::Sheds => {
+        ServerFault::Rejects => {
             let mut refusal = whole(StatusCode::SERVICE_UNAVAILABLE, "");
             mark_not_run(refusal.headers_mut());
             return Ok(refusal);
         }
-        ServerFailing::Replaced => return Ok(whole(StatusCode::MISDIRECTED_REQUEST, "")),
+        ServerFault::Replaced => return Ok(whole(StatusCode::MISDIRECTED_REQUEST, "")),
         _ => {}
     }
     let address = state.lock().address;
     if let (Some(run), Some(address)) = (&call.copy_from, address)
-        && (!take_copy(address, run) || failing == ServerFailing::DiesWithCopies)
+        && (!take_copy(address, run) || failing == ServerFault::BreaksAndLosesBackups)
     {
         let mut refusal = whole(StatusCode::SERVICE_UNAVAILABLE, "");
         mark_not_run(refusal.headers_mut());
@@ -344,14 +345,14 @@
         is_over: false,
     };
     let mut response = match failing {
-        ServerFailing::Fails => whole(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
-        ServerFailing::Closes => {
+        ServerFault::Fails => whole(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
+        ServerFault::Closes => {
             guard.is_over = true;
             return Err(io::Error::other("closed by the stand-in"));
         }
-        ServerFailing::Mute => std::future::pending().await,
+        ServerFault::Unresponsive => std::future::pending().await,
         _ if is_stream => {
-            Response::new(EventBody::stream(&call, failing, guard).ending_never(is_crashing))
+            Response::new(EventBody::stream(&call, failing, guard).with_endless(is_crashing))
         }
         _ if is_crashing => std::future::pending().await,
         _ => {
@@ -360,10 +361,10 @@
         }
     };
     let id = match failing {
-        ServerFailing::Stray => "somebody-else",
+        ServerFault::WrongResponse => "somebody-else",
         _ => &call.request_id,
     };
-    sign_answer(response.headers_mut(), id);
+    sign_response(response.headers_mut(), id);
     Ok(response)
 }
 
@@ -391,7 +392,7 @@
     guard: Option<CutGuard>,
 }
 
-impl DeathMoment {
+impl BreakPoint {
     /// Leaves what is sent before it.
     fn cut(self, events: &mut Vec<&'static str>) {
         match self {
@@ -419,21 +420,21 @@
         }
     }
 
-    fn stream(call: &ReceivedCall, failing: ServerFailing, guard: CutGuard) -> Self {
+    fn stream(call: &ReceivedCall, failing: ServerFault, guard: CutGuard) -> Self {
         let sent = call.last_event.as_deref().and_then(|id| id.parse().ok());
         let mut events = EVENTS[sent.unwrap_or(0)..].to_vec();
         let begins_here = call.copy_from.is_none();
         let breaks = match failing {
-            ServerFailing::BreaksOff => {
+            ServerFault::Disconnects => {
                 events.truncate(1);
                 true
             }
-            ServerFailing::Dies(moment) if begins_here => {
+            ServerFault::BreaksStreams(moment) if begins_here => {
                 moment.cut(&mut events);
                 true
             }
-            ServerFailing::DiesWithCopies if begins_here => {
-                DeathMoment::AfterEvent.cut(&mut events);
+            ServerFault::BreaksAndLosesBackups if begins_here => {
+                BreakPoint::AfterEvent.cut(&mut events);
                 true
             }
             _ => false,
@@ -450,7 +451,7 @@
 
 impl EventBody {
     /// Holds the last event back: the server crashes before.
-    fn ending_never(self, is_endless: bool) -> Self {
+    fn with_endless(self, is_endless: bool) -> Self {
         Self { is_endless, ..self }
     }
 }
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -12,9 +12,9 @@
 use http_body_util::BodyExt;
 use http_body_util::Full;
 use hyper::body::Incoming;
-use onyxfall_adapter::standin::{
+use onyxfall_adapter::stub::{
     PAGE_ITEMS, StoreCall, StoreWrite, batch_body, is_store_write, page_body, read_store_call,
-    read_store_write, say_era, written_body,
+    read_store_write, set_store_era, written_body,
 };
 use onyxfall_fleet::{StoreEvent, StoreItem};
 use onyxfall_types::StoreEra;
@@ -114,12 +114,12 @@
 }
 
 /// A running stand-in of the store.
-pub struct StoreStandIn {
+pub struct StoreStub {
     shared: Arc<StoreShared>,
     thread: ServingThread,
 }
 
-impl StoreStandIn {
+impl StoreStub {
     /// Starts it on a free port of `ip`.
     ///
     /// # Errors
@@ -155,7 +155,7 @@
     }
 
     /// Loses the answers of so many changes to come, which are made.
-    pub fn lose_write_answers(&self, count: usize) {
+    pub fn drop_write_responses(&self, count: usize) {
         self.shared.state.lock().lost_answers += count;
     }
 
@@ -171,14 +171,14 @@
     }
 
     /// Keeps a copy of everything, in place of the one before.
-    pub fn keep_copy(&self) {
+    pub fn save_snapshot(&self) {
         let state = &mut *self.shared.state.lock();
         state.kept = state.data.clone();
     }
 
     /// Comes back from the copy: what was written since is gone, and its revisions are
     /// given out again.
-    pub fn restore_copy(&self) {
+    pub fn restore_snapshot(&self) {
         let state = &mut *self.shared.state.lock();
         state.data = state.kept.clone();
         state.era += 1;
@@ -186,7 +186,7 @@
     }
 
     /// Drops the history, so that watches from before are refused.
-    pub fn forget_history(&self) {
+    pub fn compact_history(&self) {
         let data = &mut self.shared.state.lock().data;
         data.history.clear();
         data.forgotten = data.revision;
@@ -198,12 +198,12 @@
     }
 
     /// Lets the next watch wait for ever, whatever changes.
-    pub fn deafen_next_watch(&self) {
+    pub fn stall_next_watch(&self) {
         self.shared.state.lock().deaf_watches += 1;
     }
 
     /// Whether a watch that is to wait for ever has not come yet.
-    pub fn awaits_deaf_watch(&self) -> bool {
+    pub fn awaits_stalled_watch(&self) -> bool {
         self.shared.state.lock().deaf_watches > 0
     }
 
@@ -229,7 +229,7 @@
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let mut response = answer_call(&shared, request).await?;
     let era = StoreEra::new(shared.state.lock().era);
-    say_era(response.headers_mut(), era);
+    set_store_era(response.headers_mut(), era);
     Ok(response)
 }
 
@@ -239,9 +239,9 @@
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let mode = shared.state.lock().mode;
     match mode {
-        StoreMode::Well => {}
+        StoreMode::Normal => {}
         StoreMode::Refusing => return Ok(reply(StatusCode::SERVICE_UNAVAILABLE, String::new())),
-        StoreMode::Silent => std::future::pending().await,
+        StoreMode::Unresponsive => std::future::pending().await,
     }
     if is_store_write(request.uri()) {
         return write(shared, request).await;
--- a/crates/fleet/benches/admission.rs
+++ b/crates/fleet/benches/admission.rs
@@ -53,7 +53,7 @@
         for region in 0..REGIONS {
             let region = format!("r{region}").parse().unwrap();
             let words: Vec<(u32, f64)> = rules.iter().map(|rule| (rule.tag(), 1e3)).collect();
-            quotas.hear(at(0), &region, &words);
+            quotas.receive(at(0), &region, &words);
         }
         let table = TeamTable::new(rules);
         let mut rng = StdRng::seed_from_u64(1);
--- a/crates/fleet/benches/choice.rs
+++ b/crates/fleet/benches/choice.rs
@@ -10,8 +10,9 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use onyxfall_fleet::{
-    AttemptResult, CallNeeds, EngineLimits, FleetView, HomeRegions, LocalOption, PromptPart,
-    PromptSize, ServerBirth, ServerPhase, ServerRecord, UnreadTokens, VmPlace, WorkShare,
+    AttemptResult, CallRequirements, EngineLimits, FleetView, HomeRegions, LocalOption,
+    PrefillTokens, PromptPart, PromptSize, ServerPhase, ServerRecord, StartTime, VmLocation,
+    WorkShare,
 };
 use onyxfall_policy::Moment;
 use rand::SeedableRng;
@@ -27,7 +28,7 @@
 
 fn view() -> FleetView {
     let center = ("c0".parse().unwrap(), "r0".parse().unwrap());
-    let mut view = FleetView::new(VmPlace {
+    let mut view = FleetView::new(VmLocation {
         vm: "vm0".parse().unwrap(),
         center: "c0".parse().unwrap(),
         region: "r0".parse().unwrap(),
@@ -37,7 +38,7 @@
         let name = format!("s{server}");
         let record = ServerRecord {
             name: name.parse().unwrap(),
-            born: ServerBirth::UNKNOWN,
+            born: StartTime::UNKNOWN,
             service: "svc".parse().unwrap(),
             version: None,
             address: SocketAddr::from(([127, 0, 0, 1], 1)),
@@ -50,7 +51,7 @@
         let id = view.find(&name).unwrap();
         let one = WorkShare {
             requests: 2,
-            unread: UnreadTokens::of(5, 900 * (server as u64 % 7)),
+            unread: PrefillTokens::of(5, 900 * (server as u64 % 7)),
             memory: 20_000,
             flow: 2000,
             ..WorkShare::default()
@@ -62,9 +63,9 @@
     view
 }
 
-fn needs(number: u64) -> CallNeeds {
+fn needs(number: u64) -> CallRequirements {
     let part = |id, tokens| PromptPart { id, tokens };
-    CallNeeds {
+    CallRequirements {
         service: "svc".parse().unwrap(),
         engine: Some(EngineLimits {
             slots: 64,
--- a/crates/fleet/src/away.rs
+++ b/crates/fleet/src/away.rs
@@ -14,7 +14,7 @@
 use onyxfall_types::{RegionName, name_tag};
 use rand::Rng;
 
-use crate::call::CallNeeds;
+use crate::call::CallRequirements;
 use crate::flow::FlowMeter;
 use crate::learn::RoundTrips;
 use crate::predict::TimePrediction;
@@ -150,9 +150,9 @@
 
 /// A search for a region to send a request to.
 #[derive(Clone, Copy)]
-pub struct AwaySearch<'a> {
+pub struct RemoteSearch<'a> {
     /// What the request needs.
-    pub needs: &'a CallNeeds,
+    pub needs: &'a CallRequirements,
     /// Tag of its service's name.
     pub service_tag: u32,
     /// Region of this VM.
@@ -164,14 +164,14 @@
     /// Work that the request brings to a region that does not keep its prefix.
     pub work: Duration,
     /// The same for the region that does.
-    pub work_at_home: Duration,
+    pub work_with_prefix: Duration,
     /// Regions of which no VM is left to try.
     pub excluded: &'a [RegionName],
 }
 
 /// Where a request could be sent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AwayOption {
+pub struct RemoteOption {
     /// The region that would run it.
     pub region: RegionName,
     /// Whether the request's shared prefix is kept in that region.
@@ -184,13 +184,13 @@
 
 /// What other regions have told.
 #[derive(Clone, Debug, Default)]
-pub struct AwayTable {
+pub struct RemoteTable {
     words: BTreeMap<RegionName, RegionWord>,
     /// Mean logarithm of how much longer first bytes took there than was told.
     delays: BTreeMap<RegionName, f64>,
 }
 
-impl AwayTable {
+impl RemoteTable {
     /// Takes a word on a region that was said at `said`, `trip` away; an older one than
     /// the last is left.
     pub fn hear(
@@ -254,7 +254,7 @@
     }
 
     /// Notes that a request is sent to the region of an option.
-    pub fn note_sent(&mut self, now: Moment, option: &AwayOption, service_tag: u32) {
+    pub fn note_sent(&mut self, now: Moment, option: &RemoteOption, service_tag: u32) {
         if let Some(word) = self.words.get_mut(&option.region) {
             let meter = word.rates.entry(service_tag);
             let micros = u64::try_from(option.work.as_micros()).unwrap_or(u64::MAX);
@@ -280,7 +280,7 @@
 
     /// Sets the other VMs' rate with this short name, in seconds each second; whether
     /// there is such a rate.
-    pub fn set_told_rate(&mut self, now: Moment, tag: u32, rate: f64) -> bool {
+    pub fn set_peer_rate(&mut self, now: Moment, tag: u32, rate: f64) -> bool {
         for (region, word) in &mut self.words {
             for service_tag in word.loads.keys() {
                 if rate_tag(region, *service_tag) == tag {
@@ -293,7 +293,7 @@
     }
 
     /// The best other region, if any may run the request.
-    pub fn best(&self, now: Moment, search: &AwaySearch<'_>) -> Option<AwayOption> {
+    pub fn best(&self, now: Moment, search: &RemoteSearch<'_>) -> Option<RemoteOption> {
         self.options(now, search)
             .min_by_key(|option| option.predicted.first)
     }
@@ -302,8 +302,8 @@
     fn options<'a>(
         &'a self,
         now: Moment,
-        search: &'a AwaySearch<'_>,
-    ) -> impl Iterator<Item = AwayOption> + 'a {
+        search: &'a RemoteSearch<'_>,
+    ) -> impl Iterator<Item = RemoteOption> + 'a {
         self.words
             .iter()
             .filter(move |(region, word)| {
@@ -320,15 +320,15 @@
         now: Moment,
         region: &RegionName,
         word: &RegionWord,
-        search: &AwaySearch<'_>,
-    ) -> Option<AwayOption> {
+        search: &RemoteSearch<'_>,
+    ) -> Option<RemoteOption> {
         let load = word.loads.get(&search.service_tag)?;
         if load.usable == 0 {
             return None;
         }
         let holds_prefix = search.prefix_home == Some(region);
         let brought = if holds_prefix {
-            search.work_at_home
+            search.work_with_prefix
         } else {
             search.work
         };
@@ -338,7 +338,7 @@
         let first = search.trips.to(region) + there;
         let gaps = (search.needs.events.unwrap_or(1.0) - 1.0).max(0.0);
         let whole = first + load.pace.mul_f64(gaps.min(MOST_GAPS));
-        Some(AwayOption {
+        Some(RemoteOption {
             region: region.clone(),
             holds_prefix,
             work: brought,
@@ -357,12 +357,12 @@
     pub fn draw_spare(
         &self,
         now: Moment,
-        search: &AwaySearch<'_>,
+        search: &RemoteSearch<'_>,
         limit: Duration,
         excess: f64,
         rng: &mut impl Rng,
-    ) -> Option<AwayOption> {
-        let options: Vec<(f64, AwayOption)> = self
+    ) -> Option<RemoteOption> {
+        let options: Vec<(f64, RemoteOption)> = self
             .options(now, search)
             .filter(|option| option.predicted.first <= limit)
             .map(|option| {
@@ -387,12 +387,12 @@
     pub fn draw(
         &self,
         now: Moment,
-        search: &AwaySearch<'_>,
+        search: &RemoteSearch<'_>,
         own_usable: u32,
         rng: &mut impl Rng,
-    ) -> Option<AwayOption> {
-        let options: Vec<AwayOption> = self.options(now, search).collect();
-        let usable = |option: &AwayOption| {
+    ) -> Option<RemoteOption> {
+        let options: Vec<RemoteOption> = self.options(now, search).collect();
+        let usable = |option: &RemoteOption| {
             let load = self.words[&option.region].loads.get(&search.service_tag);
             load.map_or(0, |load| load.usable)
         };
@@ -413,14 +413,14 @@
 /// region keeps its prefix.
 ///
 /// ```
-/// use onyxfall_fleet::goes_away;
+/// use onyxfall_fleet::goes_remote;
 /// use std::time::Duration;
 /// let ms = Duration::from_millis;
-/// assert!(!goes_away(ms(600), ms(200), ms(0), ms(120), false));
-/// assert!(goes_away(ms(600), ms(900), ms(0), ms(200), false));
-/// assert!(goes_away(ms(1000), ms(200), ms(45), ms(250), true));
+/// assert!(!goes_remote(ms(600), ms(200), ms(0), ms(120), false));
+/// assert!(goes_remote(ms(600), ms(900), ms(0), ms(200), false));
+/// assert!(goes_remote(ms(1000), ms(200), ms(45), ms(250), true));
 /// ```
-pub fn goes_away(
+pub fn goes_remote(
     goal: Duration,
     local: Duration,
     saved: Duration,
--- a/crates/fleet/src/backup.rs
+++ b/crates/fleet/src/backup.rs
@@ -12,7 +12,7 @@
 use onyxfall_policy::Moment;
 use onyxfall_types::{ServerId, ServiceName};
 
-use crate::call::CallNeeds;
+use crate::call::CallRequirements;
 use crate::flow::FlowMeter;
 use crate::predict::TimePrediction;
 use crate::switches::DecisionSwitch;
@@ -80,7 +80,7 @@
         &self,
         now: Moment,
         source: ServerId,
-        needs: &CallNeeds,
+        needs: &CallRequirements,
         predicted: &TimePrediction,
         copied_gb: f64,
     ) -> BackupDecision {
@@ -111,7 +111,12 @@
 
     /// The server with the least work that could hold a copy: of this region, in
     /// another data centre than the source's where there is one.
-    fn backup_server(&self, now: Moment, source: ServerId, needs: &CallNeeds) -> Option<ServerId> {
+    fn backup_server(
+        &self,
+        now: Moment,
+        source: ServerId,
+        needs: &CallRequirements,
+    ) -> Option<ServerId> {
         let place = &self.server(source).record.center;
         self.free_servers(now, needs)
             .filter(|id| *id != source)
--- a/crates/fleet/src/balance.rs
+++ b/crates/fleet/src/balance.rs
@@ -86,7 +86,7 @@
 
 impl FleetView {
     /// Notes a request for a service.
-    pub fn note_rate(&mut self, now: Moment, service: &ServiceName, kind: RateKind) {
+    pub fn record_request(&mut self, now: Moment, service: &ServiceName, kind: RateKind) {
         let rates = self.rates_mut().entry(service.clone()).or_default();
         rates.own[kind as usize].note(now, 1);
     }
@@ -103,7 +103,7 @@
     }
 
     /// Sets the other VMs' rate with this short name; whether there is such a rate.
-    pub fn set_told_rate(&mut self, tag: u32, rate: f64) -> bool {
+    pub fn set_peer_rate(&mut self, tag: u32, rate: f64) -> bool {
         let named = self.rates_mut().iter_mut().find_map(|(service, rates)| {
             let kinds = RateKind::ALL.into_iter();
             let mut kinds = kinds.filter(|kind| kind.tag(service.as_str()) == tag);
--- a/crates/fleet/src/call.rs
+++ b/crates/fleet/src/call.rs
@@ -76,7 +76,7 @@
 
 /// What a request needs of a server.
 #[derive(Clone, Debug)]
-pub struct CallNeeds {
+pub struct CallRequirements {
     /// The service that serves it.
     pub service: ServiceName,
     /// Limits of its model servers; none for plain services.
@@ -95,7 +95,7 @@
     pub homes: HomeRegions,
 }
 
-impl CallNeeds {
+impl CallRequirements {
     /// Whether servers of `region` may run it.
     pub fn allows_region(&self, region: &RegionName) -> bool {
         self.homes.allows(region)
--- a/crates/fleet/src/choose.rs
+++ b/crates/fleet/src/choose.rs
@@ -14,7 +14,7 @@
 use rand::Rng;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::call::CallNeeds;
+use crate::call::CallRequirements;
 use crate::cold::is_cold_sender;
 use crate::level::{draw_by_level, fill_level};
 use crate::predict::TimePrediction;
@@ -113,7 +113,7 @@
     pub fn choose(
         &mut self,
         now: Moment,
-        needs: &CallNeeds,
+        needs: &CallRequirements,
         excluded: &[ServerId],
         rng: &mut impl Rng,
     ) -> LocalOption {
@@ -125,7 +125,7 @@
     pub(crate) fn choose_among(
         &mut self,
         now: Moment,
-        needs: &CallNeeds,
+        needs: &CallRequirements,
         candidates: Vec<ServerId>,
         rng: &mut impl Rng,
     ) -> LocalOption {
@@ -133,7 +133,7 @@
             return LocalOption::None;
         }
         if let Some(end) = self.earliest_hold_end(now, &candidates) {
-            return LocalOption::Held(end);
+            return LocalOption::BackedOff(end);
         }
         let roomy: Vec<ServerId> = candidates
             .into_iter()
@@ -165,7 +165,7 @@
             .map(|id| self.offer(now, id, needs, rng))
             .collect();
         let Some(choice) = self.draw(now, needs, &offers, owner, rng) else {
-            return LocalOption::Resting;
+            return LocalOption::Unavailable;
         };
         self.note_drawn(now, &needs.service);
         LocalOption::Free(choice)
@@ -175,7 +175,7 @@
     pub fn choose_alone(
         &self,
         now: Moment,
-        needs: &CallNeeds,
+        needs: &CallRequirements,
         excluded: &[ServerId],
     ) -> LocalOption {
         if !needs.allows_region(&self.place().region) {
@@ -183,12 +183,12 @@
         }
         let candidates = self.candidates(needs, excluded);
         if let Some(end) = self.earliest_hold_end(now, &candidates) {
-            return LocalOption::Held(end);
+            return LocalOption::BackedOff(end);
         }
         let free = self.free_servers(now, needs);
         let free = free.filter(|id| !excluded.contains(id));
         let calmest = free.min_by_key(|id| self.server(*id).work().requests);
-        calmest.map_or(LocalOption::Resting, |server| {
+        calmest.map_or(LocalOption::Unavailable, |server| {
             LocalOption::Free(ServerChoice {
                 server,
                 predicted: self.predict(now, server, needs),
@@ -215,9 +215,9 @@
     }
 
     /// Servers in the order of hashing that are tried for a prefix before any other.
-    fn prefix_count(&self, needs: &CallNeeds) -> usize {
+    fn prefix_count(&self, needs: &CallRequirements) -> usize {
         let shared = needs.prompt.shared_tokens();
-        let saved = self.read_time(&needs.service, shared);
+        let saved = self.prefill_time(&needs.service, shared);
         if saved < LEAST_SAVED || !self.switches().is_on(DecisionSwitch::PrefixOwner) {
             0
         } else if self.switches().is_on(DecisionSwitch::PrefixSpill) {
@@ -231,7 +231,7 @@
     fn baseline_choice(
         &mut self,
         now: Moment,
-        needs: &CallNeeds,
+        needs: &CallRequirements,
         pool: &[ServerId],
         rng: &mut impl Rng,
     ) -> Option<ServerChoice> {
@@ -248,7 +248,7 @@
         })
     }
 
-    fn candidates(&self, needs: &CallNeeds, excluded: &[ServerId]) -> Vec<ServerId> {
+    fn candidates(&self, needs: &CallRequirements, excluded: &[ServerId]) -> Vec<ServerId> {
         let region = &self.place().region;
         if !needs.allows_region(region) {
             return Vec::new();
@@ -262,7 +262,7 @@
     /// rendezvous hashing over the servers of every region that may run it. It
     /// ranks them as the choice within a region does, so that the VM there finds
     /// the same server.
-    pub fn prefix_home(&self, needs: &CallNeeds) -> Option<&RegionName> {
+    pub fn prefix_home(&self, needs: &CallRequirements) -> Option<&RegionName> {
         // Without a shared prefix there is no owner to look for.
         needs.prompt.affinity()?;
         if !self.switches().is_on(DecisionSwitch::PrefixHome) {
@@ -291,7 +291,12 @@
 
     /// The first `count` servers that rendezvous hashing gives the request's shared
     /// prefix. Each request asks, so only these are put in order.
-    fn prefix_servers(&self, needs: &CallNeeds, pool: &[ServerId], count: usize) -> Vec<ServerId> {
+    fn prefix_servers(
+        &self,
+        needs: &CallRequirements,
+        pool: &[ServerId],
+        count: usize,
+    ) -> Vec<ServerId> {
         let Some(key) = needs.prompt.affinity() else {
             return Vec::new();
         };
@@ -311,7 +316,12 @@
     }
 
     /// A server of the prefix, if it answers well within the goal.
-    fn quick_choice(&self, now: Moment, id: ServerId, needs: &CallNeeds) -> Option<ServerChoice> {
+    fn quick_choice(
+        &self,
+        now: Moment,
+        id: ServerId,
+        needs: &CallRequirements,
+    ) -> Option<ServerChoice> {
         let server = self.server(id);
         let predicted = self.predict(now, id, needs);
         let is_idle = predicted.backlog <= needs.goal.mul_f64(IDLE_PART);
@@ -333,7 +343,7 @@
     fn draw(
         &self,
         now: Moment,
-        needs: &CallNeeds,
+        needs: &CallRequirements,
         offers: &[ServerOffer],
         owner: Option<ServerId>,
         rng: &mut impl Rng,
@@ -376,17 +386,17 @@
 
     /// What choosing another server than the prefix's own costs: it reads the prefix
     /// anew, and pushes others' prefixes out.
-    fn reread_cost(&self, needs: &CallNeeds) -> Duration {
+    fn reread_cost(&self, needs: &CallRequirements) -> Duration {
         let tokens = needs.prompt.shared_tokens();
-        let priced = self.reread_price().mul_f64(tokens as f64 / 1000.0);
-        self.read_time(&needs.service, tokens) + priced
+        let priced = self.reprefill_penalty().mul_f64(tokens as f64 / 1000.0);
+        self.prefill_time(&needs.service, tokens) + priced
     }
 
     fn offer(
         &self,
         now: Moment,
         id: ServerId,
-        needs: &CallNeeds,
+        needs: &CallRequirements,
         rng: &mut impl Rng,
     ) -> ServerOffer {
         let predicted = self.predict(now, id, needs);
--- a/crates/fleet/src/follow.rs
+++ b/crates/fleet/src/follow.rs
@@ -54,17 +54,17 @@
     /// use onyxfall_fleet::CopyCheck;
     /// use onyxfall_policy::Moment;
     /// let mut check = CopyCheck::default();
-    /// check.note_change(78, 78, true);
+    /// check.record_change(78, 78, true);
     /// assert!(!check.is_due(Moment::ZERO));
-    /// check.note_change(79, 91, true);
+    /// check.record_change(79, 91, true);
     /// assert!(check.is_due(Moment::ZERO));
     /// ```
-    pub fn note_change(&mut self, own: u64, base: u64, is_whole: bool) {
+    pub fn record_change(&mut self, own: u64, base: u64, is_whole: bool) {
         self.has_gap |= own < base || !is_whole;
     }
 
     /// Notes the state of another VM's copy.
-    pub fn note_other(&mut self, now: Moment, own: CopyState, other: CopyState) {
+    pub fn record_peer_state(&mut self, now: Moment, own: CopyState, other: CopyState) {
         self.newest_heard = self.newest_heard.max(other.revision);
         if self
             .awaited
@@ -84,16 +84,16 @@
     /// use onyxfall_policy::Moment;
     /// let mut check = CopyCheck::default();
     /// let state = |revision| CopyState { revision, hash: 1 };
-    /// check.note_other(Moment::ZERO, state(7), state(8));
-    /// assert!(check.knows_later(7));
-    /// assert!(!check.knows_later(8));
+    /// check.record_peer_state(Moment::ZERO, state(7), state(8));
+    /// assert!(check.is_outdated(7));
+    /// assert!(!check.is_outdated(8));
     /// ```
-    pub fn knows_later(&self, own: u64) -> bool {
+    pub fn is_outdated(&self, own: u64) -> bool {
         own < self.newest_heard
     }
 
     /// Compares with the copy of a VM that watches for this one.
-    pub fn note_watcher(&mut self, now: Moment, own: CopyState, watcher: CopyState) {
+    pub fn compare_with_watcher(&mut self, now: Moment, own: CopyState, watcher: CopyState) {
         if own.revision != watcher.revision {
             return;
         }
@@ -134,7 +134,7 @@
     }
 
     /// Notes that everything was read.
-    pub fn note_read(&mut self, now: Moment) {
+    pub fn record_full_read(&mut self, now: Moment) {
         self.read_at = Some(now);
         self.has_gap = false;
         self.awaited = None;
--- a/crates/fleet/src/kept.rs
+++ b/crates/fleet/src/kept.rs
@@ -17,7 +17,7 @@
 
 /// The prefixes kept by one server.
 #[derive(Clone, Debug)]
-pub(crate) struct KeptPrefixes {
+pub(crate) struct CachedPrefixes {
     /// What had flowed into the memory when each prefix was last used.
     used: HashMap<u64, f64>,
     /// Tokens that have flowed into the memory until `at`.
@@ -29,7 +29,7 @@
     capacity: u64,
 }
 
-impl KeptPrefixes {
+impl CachedPrefixes {
     /// Nothing is kept yet.
     pub(crate) fn new(now: Moment) -> Self {
         Self {
@@ -47,7 +47,7 @@
     }
 
     /// Sets how many tokens a second flow in from other VMs from now on.
-    pub(crate) fn set_told_flow(&mut self, now: Moment, flow: u64) {
+    pub(crate) fn set_remote_flow(&mut self, now: Moment, flow: u64) {
         self.inflow = self.inflow(now);
         self.at = now;
         self.told_flow = flow;
--- a/crates/fleet/src/learn/answer.rs
+++ b/crates/fleet/src/learn/answer.rs
@@ -21,11 +21,11 @@
 
 /// Lengths of the answers of each route.
 #[derive(Clone, Debug, Default)]
-pub struct AnswerLengths {
+pub struct ResponseLengths {
     routes: BTreeMap<String, RouteLength>,
 }
 
-impl AnswerLengths {
+impl ResponseLengths {
     /// Expected events of an answer for which `tokens` were guessed; none before
     /// enough answers of the route were seen.
     pub fn expected(&self, route: &str, tokens: u64) -> Option<f64> {
@@ -36,8 +36,8 @@
     /// Takes a whole answer of `events`, for which `tokens` were guessed.
     ///
     /// ```
-    /// use onyxfall_fleet::AnswerLengths;
-    /// let mut lengths = AnswerLengths::default();
+    /// use onyxfall_fleet::ResponseLengths;
+    /// let mut lengths = ResponseLengths::default();
     /// for _ in 0..20 {
     ///     lengths.learn("summary", 100, 20);
     /// }
--- a/crates/fleet/src/learn/mod.rs
+++ b/crates/fleet/src/learn/mod.rs
@@ -11,9 +11,9 @@
 mod service;
 mod trip;
 
-pub use answer::AnswerLengths;
+pub use answer::ResponseLengths;
 pub use engine::{EngineCosts, EngineLoad};
 pub use linear::LinearFit;
 pub use plain::PlainCosts;
-pub use service::{CostReport, CostTeller, CostView, ServiceCosts};
+pub use service::{CostReport, CostSource, CostView, ServiceCosts};
 pub use trip::RoundTrips;
--- a/crates/fleet/src/learn/service.rs
+++ b/crates/fleet/src/learn/service.rs
@@ -20,7 +20,7 @@
 
 /// Who tells a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CostTeller {
+pub enum CostSource {
     /// A VM, of what it has learned itself.
     Member,
     /// A VM, of what others have learned.
@@ -129,7 +129,7 @@
 #[derive(Clone, Copy, Debug)]
 struct HeardReport {
     heard: Moment,
-    teller: CostTeller,
+    teller: CostSource,
     report: CostReport,
 }
 
@@ -217,7 +217,7 @@
             .values()
             .filter(|heard| match view {
                 CostView::Own => false,
-                CostView::Partial => heard.teller == CostTeller::Member,
+                CostView::Partial => heard.teller == CostSource::Member,
                 CostView::All => true,
             })
             .map(|heard| &heard.report);
@@ -240,7 +240,7 @@
         &mut self,
         now: Moment,
         vm: &VmName,
-        teller: CostTeller,
+        teller: CostSource,
         report: CostReport,
     ) -> bool {
         let bounded = report.bounded();
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Pure code: no I/O, no clock. The store's items enter through [`StoreMirror`],
 //! servers live in [`FleetView`], and a request asks [`FleetView::choose`] and
-//! [`AwayTable::best`] where to go. Limits that all VMs share ([`RetryShare`],
+//! [`RemoteTable::best`] where to go. Limits that all VMs share ([`RetryShare`],
 //! [`ColdShare`], [`QuotaTable`]) are split so that no coordination is needed.
 
 mod away;
@@ -35,22 +35,22 @@
 mod word;
 mod work;
 
-pub use away::{AwayOption, AwaySearch, AwayTable, ServiceLoad, goes_away};
+pub use away::{RemoteOption, RemoteSearch, RemoteTable, ServiceLoad, goes_remote};
 pub use backup::BackupDecision;
 pub use balance::RateKind;
 pub use budget::{BudgetLimits, RetryShare};
-pub use call::{CallNeeds, PromptPart, PromptSize};
+pub use call::{CallRequirements, PromptPart, PromptSize};
 pub use choose::{ChoiceReason, LocalOption, ServerChoice};
 pub use cold::{ColdShare, SENDERS, is_cold_sender};
 pub use follow::{ASK_LIMIT, BEHIND_LIMIT, CATCH_UP_PAUSE, CopyCheck, CopyState};
 pub use home::HomeRegions;
 pub use learn::{
-    AnswerLengths, CostReport, CostTeller, CostView, EngineCosts, EngineLoad, LinearFit,
-    PlainCosts, RoundTrips, ServiceCosts,
+    CostReport, CostSource, CostView, EngineCosts, EngineLoad, LinearFit, PlainCosts,
+    ResponseLengths, RoundTrips, ServiceCosts,
 };
 pub use level::draw_by_level;
-pub use life::{BirthError, ServerBirth, ServerLife};
-pub use limit::{LimitReports, LimitWord};
+pub use life::{ServerInstance, StartTime, StartTimeError};
+pub use limit::{LimitReports, LimitSignal};
 pub use mirror::{
     MirrorChange, MirrorDelta, RETURN_WINDOW, StoreEvent, StoreHealth, StoreItem, StoreMirror,
 };
@@ -59,13 +59,13 @@
 pub use quota::{QuotaDecision, QuotaPeers, QuotaSettings, QuotaTable};
 pub use record::{ServerPhase, ServerRecord};
 pub use route::{
-    AnswerShape, BackendService, CallerLimits, ConfigVersion, EngineLimits, RepeatRule, RouteRule,
-    RouteTable, RouteTarget,
+    BackendService, CallerLimits, ConfigVersion, EngineLimits, RepeatRule, ResponseShape,
+    RouteRule, RouteTable, RouteTarget,
 };
 pub use server::{AttemptResult, ServerState};
 pub use signs::ServerVotes;
-pub use switches::{ChoicePolicy, DecisionSwitch, DecisionSwitches, QuotaWay, UnknownName};
+pub use switches::{ChoicePolicy, DecisionSwitch, DecisionSwitches, QuotaMode, UnknownName};
 pub use team::{KeyDigest, QuotaLimit, QuotaUnit, TeamRule, TeamTable};
-pub use view::{FleetView, REREAD_PRICE, VmPlace};
-pub use word::{RestWord, ServerWord, WordNews};
-pub use work::{URGENCIES, UnreadTokens, WorkShare};
+pub use view::{FleetView, REPREFILL_PENALTY, VmLocation};
+pub use word::{BackoffSignal, ServerSignals, SignalChanges};
+pub use work::{PrefillTokens, URGENCIES, WorkShare};
--- a/crates/fleet/src/life.rs
+++ b/crates/fleet/src/life.rs
@@ -17,20 +17,20 @@
 /// of one name are compared with each other only.
 ///
 /// ```
-/// use onyxfall_fleet::ServerBirth;
-/// let birth: ServerBirth = "1700000000000".parse().unwrap();
-/// assert!(birth > ServerBirth::UNKNOWN);
+/// use onyxfall_fleet::StartTime;
+/// let birth: StartTime = "1700000000000".parse().unwrap();
+/// assert!(birth > StartTime::UNKNOWN);
 /// assert_eq!(birth.to_string(), "1700000000000");
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ServerBirth(u64);
+pub struct StartTime(u64);
 
 /// A text that is no birth.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{0}` is not a birth: expected milliseconds of Unix time")]
-pub struct BirthError(String);
+pub struct StartTimeError(String);
 
-impl ServerBirth {
+impl StartTime {
     /// Of a server that does not say when it started; before any other.
     pub const UNKNOWN: Self = Self(0);
 
@@ -45,17 +45,17 @@
     }
 }
 
-impl fmt::Display for ServerBirth {
+impl fmt::Display for StartTime {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(&self.0, f)
     }
 }
 
-impl FromStr for ServerBirth {
-    type Err = BirthError;
+impl FromStr for StartTime {
+    type Err = StartTimeError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let millis = text.parse().map_err(|_| BirthError(text.to_owned()))?;
+        let millis = text.parse().map_err(|_| StartTimeError(text.to_owned()))?;
         Ok(Self(millis))
     }
 }
@@ -63,33 +63,33 @@
 /// One life of a server.
 ///
 /// ```
-/// use onyxfall_fleet::{ServerBirth, ServerLife};
-/// let life = ServerLife {
+/// use onyxfall_fleet::{StartTime, ServerInstance};
+/// let life = ServerInstance {
 ///     name: "s1".parse().unwrap(),
-///     born: ServerBirth::from_millis(5),
+///     born: StartTime::from_millis(5),
 /// };
 /// assert_eq!(life.to_string(), "s1@5");
-/// let unborn = ServerLife { born: ServerBirth::UNKNOWN, ..life };
+/// let unborn = ServerInstance { born: StartTime::UNKNOWN, ..life };
 /// assert_eq!(unborn.to_string(), "s1");
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ServerLife {
+pub struct ServerInstance {
     /// The server's name.
     pub name: ServerName,
     /// When it started.
-    pub born: ServerBirth,
+    pub born: StartTime,
 }
 
-impl ServerLife {
+impl ServerInstance {
     /// Its hash, the same on every VM.
     pub(crate) fn hash(&self) -> u64 {
         stable_hash(&[&self.to_string()])
     }
 }
 
-impl fmt::Display for ServerLife {
+impl fmt::Display for ServerInstance {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if self.born == ServerBirth::UNKNOWN {
+        if self.born == StartTime::UNKNOWN {
             return fmt::Display::fmt(&self.name, f);
         }
         write!(f, "{}{BIRTH_MARK}{}", self.name, self.born)
--- a/crates/fleet/src/limit.rs
+++ b/crates/fleet/src/limit.rs
@@ -32,7 +32,7 @@
 
 /// Whether a server names in an answer how many requests a second it takes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum LimitWord {
+pub enum LimitSignal {
     /// It names none.
     #[default]
     None,
@@ -106,20 +106,20 @@
 impl ServerLimit {
     /// Takes the limit of an answer to a request that was sent at `sent`. Without that
     /// moment the answer belongs to another request and does not end a limit.
-    pub(crate) fn take(&mut self, now: Moment, word: LimitWord, sent: Option<Moment>) {
+    pub(crate) fn take(&mut self, now: Moment, word: LimitSignal, sent: Option<Moment>) {
         match word {
-            LimitWord::Rate(rate) => {
+            LimitSignal::Rate(rate) => {
                 self.named = Some((rate, now));
                 self.lifted = None;
             }
-            LimitWord::None => {
+            LimitSignal::None => {
                 let is_later = |sent| self.named.is_none_or(|(_, named)| sent > named);
                 if sent.is_some_and(is_later) {
                     self.named = None;
                     self.lifted = Some(now);
                 }
             }
-            LimitWord::Malformed => {}
+            LimitSignal::Malformed => {}
         }
     }
 
@@ -162,13 +162,13 @@
     /// moment the answer belongs to another request.
     ///
     /// ```
-    /// use onyxfall_fleet::{FleetView, LimitWord, VmPlace};
+    /// use onyxfall_fleet::{FleetView, LimitSignal, VmLocation};
     /// use onyxfall_types::RequestRate;
-    /// # use onyxfall_fleet::{ServerBirth, ServerPhase, ServerRecord};
+    /// # use onyxfall_fleet::{StartTime, ServerPhase, ServerRecord};
     /// # use onyxfall_policy::Moment;
     /// # let (center, region): (onyxfall_types::CenterName, onyxfall_types::RegionName) =
     /// #     ("c1".parse().unwrap(), "r1".parse().unwrap());
-    /// # let mut fleet = FleetView::new(VmPlace {
+    /// # let mut fleet = FleetView::new(VmLocation {
     /// #     vm: "vm1".parse().unwrap(),
     /// #     center: center.clone(),
     /// #     region: region.clone(),
@@ -176,7 +176,7 @@
     /// # });
     /// # let record = ServerRecord {
     /// #     name: "s1".parse().unwrap(),
-    /// #     born: ServerBirth::UNKNOWN,
+    /// #     born: StartTime::UNKNOWN,
     /// #     service: "svc".parse().unwrap(),
     /// #     version: None,
     /// #     address: "10.0.0.1:80".parse().unwrap(),
@@ -188,11 +188,17 @@
     /// # fleet.put_server(Moment::ZERO, record, None);
     /// let server = fleet.find("s1").unwrap();
     /// let rate = RequestRate::new(2.5).unwrap();
-    /// fleet.take_limit(Moment::ZERO, server, LimitWord::Rate(rate), Some(Moment::ZERO));
+    /// fleet.apply_limit(Moment::ZERO, server, LimitSignal::Rate(rate), Some(Moment::ZERO));
     /// assert_eq!(fleet.server(server).limit(Moment::ZERO), Some(rate));
     /// ```
-    pub fn take_limit(&mut self, now: Moment, id: ServerId, word: LimitWord, sent: Option<Moment>) {
-        let id = self.same_life(id);
+    pub fn apply_limit(
+        &mut self,
+        now: Moment,
+        id: ServerId,
+        word: LimitSignal,
+        sent: Option<Moment>,
+    ) {
+        let id = self.same_instance(id);
         self.server_mut(id).limit_mut().take(now, word, sent);
     }
 
--- a/crates/fleet/src/pools.rs
+++ b/crates/fleet/src/pools.rs
@@ -41,12 +41,12 @@
 
 /// A server's place in the order of its pool.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct PoolPlace {
+pub(crate) struct PoolPosition {
     rank: u64,
     pub(crate) name: ServerName,
 }
 
-impl PoolPlace {
+impl PoolPosition {
     fn new(name: &ServerName) -> Self {
         Self {
             rank: stable_hash(&["pool", name.as_str()]),
@@ -76,13 +76,13 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ServerPool {
     pub(crate) key: PoolKey,
-    pub(crate) servers: BTreeMap<PoolPlace, PoolServer>,
+    pub(crate) servers: BTreeMap<PoolPosition, PoolServer>,
     /// How many that take work are worked with.
     pub(crate) working: usize,
     /// Requests a second that one of them bears while it is cold.
     pub(crate) cold_rate: f64,
     /// The last place that is worked with; none if all are.
-    pub(crate) last: Option<PoolPlace>,
+    pub(crate) last: Option<PoolPosition>,
 }
 
 impl ServerPool {
@@ -99,7 +99,7 @@
     }
 
     /// Whether a change at a place can change which servers are worked with.
-    pub(crate) fn is_within(&self, place: &PoolPlace) -> bool {
+    pub(crate) fn is_within(&self, place: &PoolPosition) -> bool {
         self.last.as_ref().is_none_or(|last| place <= last)
     }
 }
@@ -164,14 +164,14 @@
     /// A server's entry in its pool.
     pub(crate) fn entry_mut(&mut self, name: &ServerName) -> Option<&mut PoolServer> {
         let id = self.pool_of(name.as_str())?;
-        let place = PoolPlace::new(name);
+        let place = PoolPosition::new(name);
         self.get_mut(id).servers.get_mut(&place)
     }
 
     /// Adds a server whose entry was seen; its place.
-    pub(crate) fn add(&mut self, id: PoolId, server: DormantServer) -> PoolPlace {
+    pub(crate) fn add(&mut self, id: PoolId, server: DormantServer) -> PoolPosition {
         let name = server.record.name.clone();
-        let place = PoolPlace::new(&name);
+        let place = PoolPosition::new(&name);
         let pool = self.get_mut(id);
         let server = PoolServer::Dormant(Box::new(server));
         pool.servers.insert(place.clone(), server);
@@ -180,9 +180,9 @@
     }
 
     /// Takes a server out; its pool, its place and what was kept of it.
-    pub(crate) fn remove(&mut self, name: &str) -> Option<(PoolId, PoolPlace, PoolServer)> {
+    pub(crate) fn remove(&mut self, name: &str) -> Option<(PoolId, PoolPosition, PoolServer)> {
         let (name, id) = self.by_name.remove_entry(name)?;
-        let place = PoolPlace::new(&name);
+        let place = PoolPosition::new(&name);
         let server = self.get_mut(id).servers.remove(&place)?;
         Some((id, place, server))
     }
--- a/crates/fleet/src/predict.rs
+++ b/crates/fleet/src/predict.rs
@@ -9,8 +9,8 @@
 use onyxfall_policy::Moment;
 use onyxfall_types::{ServerId, ServiceName, VmName};
 
-use crate::call::CallNeeds;
-use crate::learn::{CostReport, CostTeller, CostView, EngineLoad, ServiceCosts};
+use crate::call::CallRequirements;
+use crate::learn::{CostReport, CostSource, CostView, EngineLoad, ServiceCosts};
 use crate::server::{AttemptResult, ServerLoad, ServerState};
 use crate::switches::DecisionSwitch;
 use crate::view::FleetView;
@@ -37,7 +37,7 @@
 
 impl FleetView {
     /// Expected times of a request that is sent to a server now.
-    pub fn predict(&self, now: Moment, id: ServerId, needs: &CallNeeds) -> TimePrediction {
+    pub fn predict(&self, now: Moment, id: ServerId, needs: &CallRequirements) -> TimePrediction {
         let server = self.server(id);
         let slowness = server.slowness(now);
         let costs = self.costs(&needs.service);
@@ -69,18 +69,28 @@
     }
 
     /// Whether the whole answer is expected before the caller leaves.
-    pub fn is_in_time(&self, now: Moment, predicted: &TimePrediction, needs: &CallNeeds) -> bool {
+    pub fn is_in_time(
+        &self,
+        now: Moment,
+        predicted: &TimePrediction,
+        needs: &CallRequirements,
+    ) -> bool {
         let counts = self.switches().is_on(DecisionSwitch::WholeAnswers);
         !counts || now + predicted.whole <= needs.deadline
     }
 
     /// Expected time to the first byte.
-    pub fn predict_first(&self, now: Moment, id: ServerId, needs: &CallNeeds) -> Duration {
+    pub fn predict_first(&self, now: Moment, id: ServerId, needs: &CallRequirements) -> Duration {
         self.predict(now, id, needs).first
     }
 
     /// Expected time between two events of an answer at a server.
-    pub fn predict_pace(&self, now: Moment, id: ServerId, needs: &CallNeeds) -> Duration {
+    pub fn predict_event_interval(
+        &self,
+        now: Moment,
+        id: ServerId,
+        needs: &CallRequirements,
+    ) -> Duration {
         let server = self.server(id);
         let pace = match server.load(now, needs) {
             ServerLoad::Engine(load) => self.costs(&needs.service).pace_ms(&load, USUAL_GAPS),
@@ -91,7 +101,7 @@
 
     /// Work that a request brings to the servers of its service where `kept` of its
     /// prompt need not be read: the reading, or its part of a plain server's time.
-    pub fn work_of(&self, needs: &CallNeeds, kept: u64) -> Duration {
+    pub fn work_of(&self, needs: &CallRequirements, kept: u64) -> Duration {
         let costs = self.costs(&needs.service);
         if needs.engine.is_some() {
             return millis(costs.read_ms(needs.prompt.input.saturating_sub(kept)));
@@ -102,12 +112,18 @@
     }
 
     /// Time that servers of a service take to read `tokens` of a prompt.
-    pub fn read_time(&self, service: &ServiceName, tokens: u64) -> Duration {
+    pub fn prefill_time(&self, service: &ServiceName, tokens: u64) -> Duration {
         millis(self.costs(service).read_ms(tokens))
     }
 
     /// Notes that attempt `attempt` is sent to a server.
-    pub fn start_attempt(&mut self, now: Moment, id: ServerId, attempt: u64, needs: &CallNeeds) {
+    pub fn start_attempt(
+        &mut self,
+        now: Moment,
+        id: ServerId,
+        attempt: u64,
+        needs: &CallRequirements,
+    ) {
         let predicted = self.predict_first(now, id, needs);
         self.server_mut(id).start(now, attempt, needs, predicted);
     }
@@ -188,15 +204,15 @@
 
     /// Takes what another VM tells of the costs of a service; whether a figure was
     /// absurd and had to be bounded.
-    pub fn hear_costs(
+    pub fn receive_costs(
         &mut self,
         now: Moment,
         vm: &VmName,
-        teller: CostTeller,
+        teller: CostSource,
         service: &ServiceName,
         report: CostReport,
     ) -> bool {
-        self.learns() && self.costs_mut(service).hear(now, vm, teller, report)
+        self.learns() && self.costs_mut(service).receive(now, vm, teller, report)
     }
 
     fn learns(&self) -> bool {
@@ -223,7 +239,7 @@
 }
 
 /// Milliseconds from the first event of an answer to its end.
-fn rest_ms(costs: &ServiceCosts, load: &EngineLoad, needs: &CallNeeds) -> f64 {
+fn rest_ms(costs: &ServiceCosts, load: &EngineLoad, needs: &CallRequirements) -> f64 {
     let gaps = (needs.events.unwrap_or(1.0) - 1.0).max(0.0);
     costs.pace_ms(load, gaps).unwrap_or(0.0) * gaps
 }
--- a/crates/fleet/src/quota/mod.rs
+++ b/crates/fleet/src/quota/mod.rs
@@ -22,7 +22,7 @@
 use onyxfall_types::RegionName;
 use rand::Rng;
 
-use crate::switches::QuotaWay;
+use crate::switches::QuotaMode;
 use crate::team::QuotaLimit;
 use side::{QuotaSide, SideBucket, SideState};
 use usage::{FarDemand, TeamUsage};
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaSettings {
     /// How limits are divided.
-    pub way: QuotaWay,
+    pub way: QuotaMode,
     /// Length of the window.
     pub window: Duration,
     /// Part of the limit that may be used beside it.
@@ -56,7 +56,7 @@
     /// Nothing beside the limit.
     fn default() -> Self {
         Self {
-            way: QuotaWay::Pooled,
+            way: QuotaMode::Pooled,
             window: Duration::from_secs(8),
             over: 0.0,
             slack: 0.0,
@@ -73,7 +73,7 @@
 
     /// Where a bucket is taken to stand of which nothing is known.
     fn start_level(&self, limit: &QuotaLimit) -> f64 {
-        if self.way == QuotaWay::EqualParts {
+        if self.way == QuotaMode::EqualParts {
             return 0.0;
         }
         let side = QuotaSide::alone(limit, 1, 0.0);
@@ -86,7 +86,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaPeers {
     /// Part of the region's VMs that this one hears, itself included.
-    pub heard_part: f64,
+    pub reachable_share: f64,
     /// VMs of all regions, this one included.
     pub vms: usize,
     /// Regions, this one included.
@@ -96,7 +96,7 @@
 impl Default for QuotaPeers {
     fn default() -> Self {
         Self {
-            heard_part: 1.0,
+            reachable_share: 1.0,
             vms: 1,
             regions: 1,
         }
@@ -205,13 +205,13 @@
     }
 
     /// What another region last told of the teams.
-    pub fn told_by(&self, region: &RegionName) -> impl Iterator<Item = (u32, f64)> {
+    pub fn demand_of(&self, region: &RegionName) -> impl Iterator<Item = (u32, f64)> {
         let teams = self.teams.iter();
         teams.filter_map(|(tag, usage)| Some((*tag, usage.far.get(region)?.rate)))
     }
 
     /// Sets what a team asks of the region's other VMs; whether the team is known.
-    pub fn set_near(&mut self, now: Moment, team: u32, demand: f64) -> bool {
+    pub fn set_peer_demand(&mut self, now: Moment, team: u32, demand: f64) -> bool {
         let Some(usage) = self.teams.get_mut(&team) else {
             return false;
         };
--- a/crates/fleet/src/quota/usage.rs
+++ b/crates/fleet/src/quota/usage.rs
@@ -9,7 +9,7 @@
 use super::side::{QuotaSide, SideState};
 use super::{QuotaPeers, QuotaSettings};
 use crate::flow::FlowMeter;
-use crate::switches::QuotaWay;
+use crate::switches::QuotaMode;
 use crate::team::QuotaLimit;
 
 /// Time in which what a team asks for fades to a third. It adds to the time in which a
@@ -104,7 +104,7 @@
         if hears_regions {
             self.note_part(now, near, far);
         }
-        if hears_regions && peers.heard_part >= MAJORITY {
+        if hears_regions && peers.reachable_share >= MAJORITY {
             return QuotaSide {
                 rate: limit.rate,
                 part: 1.0,
@@ -115,8 +115,8 @@
         // What was usual may have moved: half of it, and half of an equal part.
         let equal = 1.0 / peers.regions.max(1) as f64;
         let region = f64::midpoint(self.usual_part, equal);
-        let heard = if peers.heard_part < MAJORITY {
-            peers.heard_part
+        let heard = if peers.reachable_share < MAJORITY {
+            peers.reachable_share
         } else {
             1.0
         };
@@ -148,8 +148,8 @@
         self.assumed = (self.assumed - drained).clamp(0.0, self.level);
         self.at = now;
         let side = match settings.way {
-            QuotaWay::Pooled => self.side(now, peers),
-            QuotaWay::EqualParts => {
+            QuotaMode::Pooled => self.side(now, peers),
+            QuotaMode::EqualParts => {
                 QuotaSide::alone(&self.limit, peers.vms, self.own.per_second(now))
             }
         };
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -5,7 +5,7 @@
 
 use onyxfall_types::{CenterName, ServerName, ServiceName, SoftwareVersion};
 
-use crate::life::{ServerBirth, ServerLife};
+use crate::life::{ServerInstance, StartTime};
 
 /// Whether a server takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// Name of the server.
     pub name: ServerName,
     /// When it started.
-    pub born: ServerBirth,
+    pub born: StartTime,
     /// Service that it belongs to.
     pub service: ServiceName,
     /// Version of its software, if it says so.
@@ -44,8 +44,8 @@
 
 impl ServerRecord {
     /// The life that wrote it.
-    pub fn life(&self) -> ServerLife {
-        ServerLife {
+    pub fn life(&self) -> ServerInstance {
+        ServerInstance {
             name: self.name.clone(),
             born: self.born,
         }
--- a/crates/fleet/src/route.rs
+++ b/crates/fleet/src/route.rs
@@ -33,7 +33,7 @@
 
 /// What an answer of a route looks like.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerShape {
+pub enum ResponseShape {
     /// One body.
     Whole,
     /// A series of events.
@@ -66,7 +66,7 @@
     /// How often a request may run.
     pub repeat: RepeatRule,
     /// What answers look like.
-    pub shape: AnswerShape,
+    pub shape: ResponseShape,
     /// Longest time that a request may be held.
     pub timeout: Duration,
     /// Time within which an answer (a stream's first event) is in time.
@@ -93,7 +93,7 @@
     pub fn is_resumable(&self) -> bool {
         matches!(
             self.shape,
-            AnswerShape::Stream {
+            ResponseShape::Stream {
                 resumable: true,
                 ..
             }
@@ -102,7 +102,7 @@
 
     /// Whether answers are series of events.
     pub fn is_stream(&self) -> bool {
-        matches!(self.shape, AnswerShape::Stream { .. })
+        matches!(self.shape, ResponseShape::Stream { .. })
     }
 
     /// The service for the request with this id; the same one each time.
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -3,19 +3,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use onyxfall_policy::{CircuitBreaker, Moment, ServerRest};
+use onyxfall_policy::{CircuitBreaker, Moment, ServerBackoff};
 use onyxfall_types::{RegionName, RequestRate};
 
-use crate::call::{CallNeeds, PromptSize};
+use crate::call::{CallRequirements, PromptSize};
 use crate::cold::ColdShare;
 use crate::flow::FlowMeter;
-use crate::kept::KeptPrefixes;
+use crate::kept::CachedPrefixes;
 use crate::learn::EngineLoad;
 use crate::limit::ServerLimit;
 use crate::record::{ServerPhase, ServerRecord};
-use crate::signs::{ServerVotes, SignRecord};
-use crate::word::{DOUBTFUL_LEAVING, DoubtfulWords};
-use crate::work::{UnreadTokens, WorkShare};
+use crate::signs::{LivenessRecord, ServerVotes};
+use crate::word::{AMBIGUOUS_DRAINING, AmbiguousSignals};
+use crate::work::{PrefillTokens, WorkShare};
 
 /// Time in which what came to a server fades to a third: long enough for a steady
 /// figure at a few requests a second, short against the life of a prefix (tens of
@@ -99,7 +99,7 @@
     is_replaced: bool,
     /// When it said in an answer that it leaves.
     leaving_since: Option<Moment>,
-    rest: ServerRest,
+    rest: ServerBackoff,
     /// When it last asked for rest.
     rest_asked: Option<Moment>,
     limit: ServerLimit,
@@ -112,8 +112,8 @@
     own: WorkShare,
     /// Other VMs' work, as they tell it.
     others: WorkShare,
-    kept: KeptPrefixes,
-    signs: SignRecord,
+    kept: CachedPrefixes,
+    signs: LivenessRecord,
 }
 
 impl ServerState {
@@ -129,7 +129,7 @@
             gone: false,
             is_replaced: false,
             leaving_since: None,
-            rest: ServerRest::default(),
+            rest: ServerBackoff::default(),
             rest_asked: None,
             limit: ServerLimit::default(),
             full_until: Moment::ZERO,
@@ -140,8 +140,8 @@
             open: BTreeMap::new(),
             own: WorkShare::default(),
             others: WorkShare::default(),
-            kept: KeptPrefixes::new(now),
-            signs: SignRecord::default(),
+            kept: CachedPrefixes::new(now),
+            signs: LivenessRecord::default(),
         }
     }
 
@@ -161,7 +161,7 @@
     /// Notes that this life has ended. What it kept is forgotten with it.
     pub(crate) fn end_life(&mut self, now: Moment) {
         self.gone = true;
-        self.kept = KeptPrefixes::new(now);
+        self.kept = CachedPrefixes::new(now);
     }
 
     /// Notes that the server has started again: this life has ended, and what ran here.
@@ -176,7 +176,7 @@
     }
 
     /// Hash of this life, the same on every VM.
-    pub fn life_hash(&self) -> u64 {
+    pub fn instance_hash(&self) -> u64 {
         self.life
     }
 
@@ -208,11 +208,11 @@
 
     /// Whether its breaker and the rest that it wants let an attempt pass.
     pub fn is_trusted(&self, now: Moment) -> bool {
-        self.circuit.allows(now) && now >= self.full_until && self.is_rested(now)
+        self.circuit.allows(now) && now >= self.full_until && self.is_backoff_over(now)
     }
 
     /// Notes that it leaves; whether that is news.
-    pub(crate) fn note_leaving(&mut self, now: Moment) -> bool {
+    pub(crate) fn record_draining(&mut self, now: Moment) -> bool {
         let is_news = self.leaving_since.is_none();
         self.leaving_since.get_or_insert(now);
         is_news
@@ -225,7 +225,7 @@
 
     /// Notes that it wants nothing from this VM for `time`; whether it rests for longer by
     /// that.
-    pub(crate) fn note_rest(&mut self, now: Moment, time: Duration) -> bool {
+    pub(crate) fn record_backoff(&mut self, now: Moment, time: Duration) -> bool {
         let before = self.rest.end(now);
         self.rest.ask(now, time);
         self.rest_asked = Some(now);
@@ -246,14 +246,17 @@
     }
 
     /// The rest that it wants, if the moment of the asking passes.
-    pub(crate) fn asked_rest(&self, passes: impl Fn(Option<Moment>) -> bool) -> Option<ServerRest> {
+    pub(crate) fn requested_backoff(
+        &self,
+        passes: impl Fn(Option<Moment>) -> bool,
+    ) -> Option<ServerBackoff> {
         passes(self.rest_asked).then_some(self.rest)
     }
 
     /// Counts what a former life seems to have said.
-    pub(crate) fn take_doubtful(&mut self, now: Moment, words: &DoubtfulWords) {
+    pub(crate) fn apply_ambiguous(&mut self, now: Moment, words: &AmbiguousSignals) {
         if words.leaves {
-            self.rest.ask(now, DOUBTFUL_LEAVING);
+            self.rest.ask(now, AMBIGUOUS_DRAINING);
         }
         if let Some(rest) = words.rest {
             self.rest.join(rest);
@@ -261,17 +264,17 @@
     }
 
     /// Whether it may be chosen as far as the rest goes that it wants.
-    pub(crate) fn is_rested(&self, now: Moment) -> bool {
+    pub(crate) fn is_backoff_over(&self, now: Moment) -> bool {
         self.rest.allows(now)
     }
 
     /// End of the rest that it wants; none if that is over.
-    pub fn rest_end(&self, now: Moment) -> Option<Moment> {
+    pub fn backoff_end(&self, now: Moment) -> Option<Moment> {
         self.rest.end(now)
     }
 
     /// Takes over what the same life said of itself before its entry had lapsed.
-    pub(crate) fn inherit_word(&mut self, before: &Self) {
+    pub(crate) fn inherit_signals(&mut self, before: &Self) {
         self.record = self.record.clone().leaving_as(before.record.phase);
         self.leaving_since = before.leaving_since;
         self.rest = before.rest;
@@ -309,19 +312,19 @@
     }
 
     /// The last sign of life that this VM has had of it.
-    pub fn last_sign(&self) -> Option<Moment> {
-        self.signs.last_sign()
+    pub fn last_liveness(&self) -> Option<Moment> {
+        self.signs.last_liveness()
     }
 
     /// Notes a sign of life.
-    pub fn note_sign(&mut self, now: Moment) {
-        self.signs.note_sign(now);
+    pub fn record_liveness(&mut self, now: Moment) {
+        self.signs.record_liveness(now);
     }
 
     /// Sets what all other VMs have under way there.
     pub fn set_others(&mut self, now: Moment, work: WorkShare) {
         self.others = work;
-        self.kept.set_told_flow(now, work.flow);
+        self.kept.set_remote_flow(now, work.flow);
     }
 
     /// All work under way there, as far as known.
@@ -331,7 +334,7 @@
 
     /// Whether another request fits. A plain service's server takes `turns` for each
     /// of its slots.
-    pub(crate) fn has_room(&self, needs: &CallNeeds, turns: f64) -> bool {
+    pub(crate) fn has_room(&self, needs: &CallRequirements, turns: f64) -> bool {
         let work = self.work();
         match needs.engine {
             None => f64::from(work.requests) < f64::from(self.record.slots) * turns,
@@ -344,12 +347,12 @@
     }
 
     /// Prompt tokens that it would have to read.
-    pub fn unread_tokens(&self, now: Moment, prompt: &PromptSize) -> u64 {
+    pub fn prefill_tokens(&self, now: Moment, prompt: &PromptSize) -> u64 {
         prompt.input.saturating_sub(self.kept_tokens(now, prompt))
     }
 
     /// Tokens of parts that others share and that it would have to read.
-    pub fn unread_shared(&self, now: Moment, prompt: &PromptSize) -> u64 {
+    pub fn shared_prefill_tokens(&self, now: Moment, prompt: &PromptSize) -> u64 {
         let shared = prompt.shared_tokens();
         shared.saturating_sub(self.kept_tokens(now, prompt))
     }
@@ -359,7 +362,7 @@
     }
 
     /// What it has to do when a request comes now.
-    pub(crate) fn load(&self, now: Moment, needs: &CallNeeds) -> ServerLoad {
+    pub(crate) fn load(&self, now: Moment, needs: &CallRequirements) -> ServerLoad {
         let work = self.work();
         if needs.engine.is_none() {
             let slots = f64::from(self.record.slots.max(1));
@@ -368,7 +371,7 @@
         }
         let ahead = work.unread.up_to(needs.urgency);
         ServerLoad::Engine(EngineLoad {
-            own: self.unread_tokens(now, &needs.prompt),
+            own: self.prefill_tokens(now, &needs.prompt),
             ahead,
             behind: work.unread.total() - ahead,
             running: work.requests,
@@ -420,12 +423,18 @@
     }
 
     /// Notes that attempt `id` is sent; its first byte is expected after `predicted`.
-    pub(crate) fn start(&mut self, now: Moment, id: u64, needs: &CallNeeds, predicted: Duration) {
+    pub(crate) fn start(
+        &mut self,
+        now: Moment,
+        id: u64,
+        needs: &CallRequirements,
+        predicted: Duration,
+    ) {
         let load = self.load(now, needs);
-        let unread = self.unread_tokens(now, &needs.prompt);
+        let unread = self.prefill_tokens(now, &needs.prompt);
         let work = WorkShare {
             requests: 1,
-            unread: UnreadTokens::of(needs.urgency, unread),
+            unread: PrefillTokens::of(needs.urgency, unread),
             memory: needs.prompt.memory(),
             ..WorkShare::default()
         };
@@ -460,7 +469,7 @@
         }
         open.answered = Some(now);
         self.rest.note_taken(id);
-        self.signs.note_sign(now);
+        self.signs.record_liveness(now);
         let read = WorkShare {
             unread: open.work.unread,
             ..WorkShare::default()
@@ -497,19 +506,19 @@
         self.rest.note_end(id);
         match result {
             AttemptResult::Succeeded => {
-                self.signs.note_sign(now);
+                self.signs.record_liveness(now);
                 self.circuit.succeed();
             }
             AttemptResult::Failed => {
                 self.circuit.fail(now);
             }
             AttemptResult::Unreachable | AttemptResult::Broken => {
-                self.signs.note_break(now);
+                self.signs.record_disconnect(now);
                 self.circuit.fail(now);
                 self.circuit.trip(now);
             }
             AttemptResult::Shed => {
-                self.signs.note_sign(now);
+                self.signs.record_liveness(now);
                 self.circuit.forget();
                 self.full_until = now + FULL_PAUSE;
             }
--- a/crates/fleet/src/signs.rs
+++ b/crates/fleet/src/signs.rs
@@ -69,41 +69,41 @@
 
 /// What one VM has seen of a server.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct SignRecord {
-    last_sign: Option<Moment>,
+pub(crate) struct LivenessRecord {
+    last_liveness: Option<Moment>,
     last_break: Option<Moment>,
 }
 
-impl SignRecord {
+impl LivenessRecord {
     /// The last sign of life.
-    pub(crate) fn last_sign(&self) -> Option<Moment> {
-        self.last_sign
+    pub(crate) fn last_liveness(&self) -> Option<Moment> {
+        self.last_liveness
     }
 
     /// Notes a sign of life.
-    pub(crate) fn note_sign(&mut self, now: Moment) {
-        self.last_sign = Some(now);
+    pub(crate) fn record_liveness(&mut self, now: Moment) {
+        self.last_liveness = Some(now);
     }
 
     /// Notes that a connection broke, or could not be made.
-    pub(crate) fn note_break(&mut self, now: Moment) {
+    pub(crate) fn record_disconnect(&mut self, now: Moment) {
         self.last_break = Some(now);
     }
 
     /// This VM's vote; `waiting` are the start and the expected time of the attempt that
     /// has waited longest for its first byte.
     pub(crate) fn vote(&self, now: Moment, waiting: Option<(Moment, Duration)>) -> ServerVotes {
-        let is_broken = self
-            .last_break
-            .is_some_and(|at| now - at < BAD_LIFE && self.last_sign.is_none_or(|sign| sign < at));
+        let is_broken = self.last_break.is_some_and(|at| {
+            now - at < BAD_LIFE && self.last_liveness.is_none_or(|sign| sign < at)
+        });
         let is_overdue = waiting.is_some_and(|(started, expected)| {
-            let since = self.last_sign.map_or(started, |sign| sign.max(started));
+            let since = self.last_liveness.map_or(started, |sign| sign.max(started));
             now - since >= expected.mul_f64(OVERDUE_FACTOR).max(LEAST_OVERDUE)
         });
         if is_broken || is_overdue {
             return ServerVotes { good: 0, bad: 1 };
         }
-        let is_heard = self.last_sign.is_some_and(|at| now - at < GOOD_LIFE);
+        let is_heard = self.last_liveness.is_some_and(|at| now - at < GOOD_LIFE);
         ServerVotes {
             good: u32::from(is_heard),
             bad: 0,
--- a/crates/fleet/src/switches.rs
+++ b/crates/fleet/src/switches.rs
@@ -79,7 +79,7 @@
 
 named_values! {
     /// How limits of teams are divided between VMs.
-    QuotaWay, "way of limits", {
+    QuotaMode, "way of limits", {
         /// By what is asked for, as the VMs tell each other.
         Pooled = "pooled",
         /// Every VM has the same part. A baseline.
--- a/crates/fleet/src/version.rs
+++ b/crates/fleet/src/version.rs
@@ -11,7 +11,7 @@
 use onyxfall_types::{RegionName, ServerId, ServiceName, SoftwareVersion, stable_hash};
 use rand::Rng;
 
-use crate::call::CallNeeds;
+use crate::call::CallRequirements;
 use crate::choose::LocalOption;
 use crate::view::FleetView;
 
@@ -85,7 +85,7 @@
         &mut self,
         now: Moment,
         side: VersionSide,
-        needs: &CallNeeds,
+        needs: &CallRequirements,
         rng: &mut impl Rng,
     ) -> LocalOption {
         let mut servers = self.servers_of_side(needs, side);
@@ -96,7 +96,7 @@
     }
 
     /// The servers of this region and of a version that could have a request.
-    fn servers_of_side(&self, needs: &CallNeeds, side: VersionSide) -> Vec<ServerId> {
+    fn servers_of_side(&self, needs: &CallRequirements, side: VersionSide) -> Vec<ServerId> {
         if !needs.allows_region(&self.place().region) {
             return Vec::new();
         }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -17,12 +17,12 @@
 
 use crate::backup::CrashTable;
 use crate::balance::RateTable;
-use crate::call::CallNeeds;
+use crate::call::CallRequirements;
 use crate::flow::FlowMeter;
 use crate::learn::ServiceCosts;
-use crate::life::ServerBirth;
+use crate::life::StartTime;
 use crate::pools::{
-    DormantServer, LEAST_WORKING, PoolId, PoolKey, PoolPlace, PoolServer, PoolTable,
+    DormantServer, LEAST_WORKING, PoolId, PoolKey, PoolPosition, PoolServer, PoolTable,
 };
 use crate::record::ServerRecord;
 use crate::route::RouteTable;
@@ -33,7 +33,7 @@
 /// where the settings name none. Short shared parts are held to their server by it: on a
 /// day with a loss of power 15.1 M tokens of shared parts were read again without, 11.2 M
 /// with it, and worth was 0.692 and 0.708; on three days with a rush 0.589 and 0.592.
-pub const REREAD_PRICE: Duration = Duration::from_millis(200);
+pub const REPREFILL_PENALTY: Duration = Duration::from_millis(200);
 /// Requests for each slot of a plain service's server up to which it gets more, beside
 /// those that have ended since they were told. With 2 and nothing beside, a hundred VMs
 /// took a busy server for full until they knew better and all sent to the other one: 21
@@ -49,7 +49,7 @@
 
 /// Where this VM stands.
 #[derive(Clone, Debug)]
-pub struct VmPlace {
+pub struct VmLocation {
     /// Its name.
     pub vm: VmName,
     /// Its data centre.
@@ -63,7 +63,7 @@
 /// The latest life under a name.
 #[derive(Clone, Copy, Debug)]
 struct LatestLife {
-    born: ServerBirth,
+    born: StartTime,
     /// The latest one that this VM has worked with.
     worked: Option<ServerId>,
 }
@@ -71,7 +71,7 @@
 /// The fleet.
 #[derive(Clone, Debug)]
 pub struct FleetView {
-    place: VmPlace,
+    place: VmLocation,
     servers: EntityMap<ServerId, ServerState>,
     by_name: HashMap<ServerName, ServerId>,
     /// The same by the tag of its life, which messages between VMs carry.
@@ -106,14 +106,14 @@
     rates: RateTable,
     /// Delay that is accepted for 1,000 tokens of a shared part that need not be read
     /// again.
-    reread_price: Duration,
+    reprefill_penalty: Duration,
     /// Which versions of services may have requests, where two have servers.
     pub(crate) version_rules: BTreeMap<ServiceName, VersionRule>,
 }
 
 impl FleetView {
     /// A view that knows no server.
-    pub fn new(place: VmPlace) -> Self {
+    pub fn new(place: VmLocation) -> Self {
         Self {
             place,
             servers: EntityMap::new(),
@@ -137,7 +137,7 @@
             knowledge_age: Duration::ZERO,
             drawn: BTreeMap::new(),
             rates: RateTable::new(),
-            reread_price: REREAD_PRICE,
+            reprefill_penalty: REPREFILL_PENALTY,
             version_rules: BTreeMap::new(),
         }
     }
@@ -148,13 +148,13 @@
     }
 
     /// The moment of a birth by this VM's clock; zero for those before it.
-    pub(crate) fn moment_of(&self, born: ServerBirth) -> Moment {
+    pub(crate) fn moment_of(&self, born: StartTime) -> Moment {
         let born = Duration::from_millis(born.millis());
         Moment::from_duration(born.saturating_sub(self.unix_start))
     }
 
     /// Where this VM stands.
-    pub fn place(&self) -> &VmPlace {
+    pub fn place(&self) -> &VmLocation {
         &self.place
     }
 
@@ -198,12 +198,12 @@
 
     /// Sets the delay that is accepted for 1,000 tokens of a shared part that need not
     /// be read again.
-    pub fn set_reread_price(&mut self, delay: Duration) {
-        self.reread_price = delay;
+    pub fn set_reprefill_penalty(&mut self, delay: Duration) {
+        self.reprefill_penalty = delay;
     }
 
-    pub(crate) fn reread_price(&self) -> Duration {
-        self.reread_price
+    pub(crate) fn reprefill_penalty(&self) -> Duration {
+        self.reprefill_penalty
     }
 
     /// Which mechanisms are on.
@@ -283,7 +283,7 @@
     }
 
     /// A server that is not gone by the hash of its life.
-    pub fn find_life(&self, hash: u64) -> Option<ServerId> {
+    pub fn find_instance(&self, hash: u64) -> Option<ServerId> {
         self.by_life.get(&hash).copied()
     }
 
@@ -331,7 +331,11 @@
     }
 
     /// The servers of this region that a request could be sent to at once.
-    pub fn free_servers(&self, now: Moment, needs: &CallNeeds) -> impl Iterator<Item = ServerId> {
+    pub fn free_servers(
+        &self,
+        now: Moment,
+        needs: &CallRequirements,
+    ) -> impl Iterator<Item = ServerId> {
         self.near_servers(&needs.service).filter(move |id| {
             let server = self.server(*id);
             self.is_trusted(now, *id)
@@ -358,7 +362,7 @@
 
     /// Whether another request fits a server. Of other VMs' requests to a plain service
     /// some have ended since they were told.
-    pub(crate) fn has_room(&self, id: ServerId, needs: &CallNeeds) -> bool {
+    pub(crate) fn has_room(&self, id: ServerId, needs: &CallRequirements) -> bool {
         let one = self.costs(&needs.service).plain_ms() / 1e3;
         let ended = self.knowledge_age.as_secs_f64() / one.max(f64::MIN_POSITIVE);
         self.server(id).has_room(needs, PLAIN_TURNS + ended)
@@ -453,7 +457,7 @@
     }
 
     /// Begins to work with a server.
-    fn wake(&mut self, pool: PoolId, place: &PoolPlace) {
+    fn wake(&mut self, pool: PoolId, place: &PoolPosition) {
         let held = self.pools.get_mut(pool).servers.get_mut(place);
         let Some(PoolServer::Dormant(dormant)) = held else {
             return;
@@ -470,9 +474,9 @@
         let worked = self.latest.get(&name).and_then(|latest| latest.worked);
         match worked {
             Some(former) if self.servers[former].record.born == born => {
-                state.inherit_word(&self.servers[former]);
+                state.inherit_signals(&self.servers[former]);
             }
-            Some(former) => state.take_doubtful(seen, &self.doubtful_words(former, born)),
+            Some(former) => state.apply_ambiguous(seen, &self.ambiguous_signals(former, born)),
             None => {}
         }
         let id = self.servers.push(state);
@@ -482,12 +486,12 @@
             latest.worked = Some(id);
         }
         self.by_tag.insert(self.servers[id].tag(), id);
-        self.by_life.insert(self.servers[id].life_hash(), id);
+        self.by_life.insert(self.servers[id].instance_hash(), id);
         self.by_name.insert(name, id);
     }
 
     /// Works out with which servers of a pool this VM works, after a change at a place.
-    fn settle_at(&mut self, pool: PoolId, place: &PoolPlace) {
+    fn settle_at(&mut self, pool: PoolId, place: &PoolPosition) {
         if self.pools.get(pool).is_within(place) {
             self.settle(pool);
         }
@@ -562,7 +566,7 @@
 
     /// The id under which the life of a server is known now: another one where its entry
     /// had lapsed since.
-    pub(crate) fn same_life(&self, id: ServerId) -> ServerId {
+    pub(crate) fn same_instance(&self, id: ServerId) -> ServerId {
         let record = &self.server(id).record;
         let latest = self.latest.get(&record.name);
         let worked = latest.and_then(|latest| latest.worked);
@@ -594,7 +598,7 @@
         if let PoolServer::Working(id) = server {
             self.by_name.remove(name);
             self.by_tag.remove(&self.servers[id].tag());
-            self.by_life.remove(&self.servers[id].life_hash());
+            self.by_life.remove(&self.servers[id].instance_hash());
             if self.servers[id].takes_work() {
                 self.note_crash(now, id);
             }
@@ -616,7 +620,7 @@
     }
 
     /// Notes that a data centre is taken back; its servers may be cold.
-    pub fn take_back(&mut self, now: Moment, center: &CenterName, table: Option<&RouteTable>) {
+    pub fn end_evacuation(&mut self, now: Moment, center: &CenterName, table: Option<&RouteTable>) {
         if !self.evacuated.remove(center) {
             return;
         }
--- a/crates/fleet/src/work.rs
+++ b/crates/fleet/src/work.rs
@@ -8,14 +8,14 @@
 
 /// Prompt tokens not yet known to be read, by the urgency of their requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct UnreadTokens([u64; URGENCIES]);
+pub struct PrefillTokens([u64; URGENCIES]);
 
-impl UnreadTokens {
+impl PrefillTokens {
     /// The tokens of one request.
     ///
     /// ```
-    /// use onyxfall_fleet::UnreadTokens;
-    /// let unread = UnreadTokens::of(3, 500);
+    /// use onyxfall_fleet::PrefillTokens;
+    /// let unread = PrefillTokens::of(3, 500);
     /// assert_eq!(unread.up_to(2), 0);
     /// assert_eq!(unread.up_to(3), 500);
     /// ```
@@ -66,7 +66,7 @@
     /// Requests under way.
     pub requests: u32,
     /// Prompt tokens not yet known to be read.
-    pub unread: UnreadTokens,
+    pub unread: PrefillTokens,
     /// Memory that the requests will hold, in tokens.
     pub memory: u64,
     /// Tokens a second that flow into the server's memory.
--- a/crates/fleet/tests/affinity.rs
+++ b/crates/fleet/tests/affinity.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use onyxfall_fleet::{
-    CallNeeds, EngineLimits, FleetView, HomeRegions, LocalOption, PromptPart, PromptSize,
-    ServerRecord, UnreadTokens, WorkShare,
+    CallRequirements, EngineLimits, FleetView, HomeRegions, LocalOption, PrefillTokens, PromptPart,
+    PromptSize, ServerRecord, WorkShare,
 };
 use onyxfall_types::ServerId;
 use rand::SeedableRng;
@@ -40,10 +40,10 @@
     view
 }
 
-fn needs(own: u64) -> CallNeeds {
+fn needs(own: u64) -> CallRequirements {
     let part = |id, tokens| PromptPart { id, tokens };
     let parts = vec![part(own % PARTS + 1, SHARED), part(1_000_000 + own, 1800)];
-    CallNeeds {
+    CallRequirements {
         service: "svc".parse().unwrap(),
         engine: Some(EngineLimits {
             slots: 32,
@@ -65,7 +65,7 @@
     }
 }
 
-fn choose(view: &mut FleetView, now: u64, needs: &CallNeeds, rng: &mut StdRng) -> ServerId {
+fn choose(view: &mut FleetView, now: u64, needs: &CallRequirements, rng: &mut StdRng) -> ServerId {
     match view.choose(at(now), needs, &[], rng) {
         LocalOption::Free(choice) => choice.server,
         other => panic!("no server: {other:?}"),
@@ -129,7 +129,7 @@
         let owner = choose(&mut view, 0, &needs, &mut rng);
         let work = WorkShare {
             requests: 1,
-            unread: UnreadTokens::of(3, case.unread),
+            unread: PrefillTokens::of(3, case.unread),
             memory: case.unread,
             ..WorkShare::default()
         };
--- a/crates/fleet/tests/backup.rs
+++ b/crates/fleet/tests/backup.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use onyxfall_fleet::{
-    CallNeeds, ChoicePolicy, DecisionSwitch, DecisionSwitches, EngineLimits, FleetView,
-    HomeRegions, PromptPart, PromptSize, ServerRecord, TimePrediction, UnreadTokens, WorkShare,
+    CallRequirements, ChoicePolicy, DecisionSwitch, DecisionSwitches, EngineLimits, FleetView,
+    HomeRegions, PrefillTokens, PromptPart, PromptSize, ServerRecord, TimePrediction, WorkShare,
 };
 use onyxfall_types::ServerId;
 use support::{at, place, ready_server};
@@ -32,8 +32,8 @@
     view.find(name).unwrap()
 }
 
-fn needs(input: u64, keeps_backups: bool) -> CallNeeds {
-    CallNeeds {
+fn needs(input: u64, keeps_backups: bool) -> CallRequirements {
+    CallRequirements {
         service: "svc".parse().unwrap(),
         engine: Some(EngineLimits {
             slots: 8,
@@ -177,7 +177,7 @@
     for name in ["s3", "s4"] {
         let full = WorkShare {
             requests: 8,
-            unread: UnreadTokens::default(),
+            unread: PrefillTokens::default(),
             memory: 0,
             flow: 0,
             ..WorkShare::default()
--- a/crates/fleet/tests/balance.rs
+++ b/crates/fleet/tests/balance.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use onyxfall_fleet::{
-    AwaySearch, AwayTable, DecisionSwitch, DecisionSwitches, FleetView, RateKind, RoundTrips,
+    DecisionSwitch, DecisionSwitches, FleetView, RateKind, RemoteSearch, RemoteTable, RoundTrips,
     ServerRecord, ServiceLoad,
 };
 use onyxfall_types::{ServiceName, name_tag};
@@ -86,9 +86,9 @@
         let policy = DecisionSwitches::default().policy();
         view.set_switches(DecisionSwitches::new(policy, case.off.iter().copied()));
         let now = at(100_000);
-        view.note_rate(now, &service(), RateKind::Offered);
-        view.set_told_rate(RateKind::Offered.tag("svc"), case.offered);
-        view.set_told_rate(RateKind::Relayed.tag("svc"), case.relayed);
+        view.record_request(now, &service(), RateKind::Offered);
+        view.set_peer_rate(RateKind::Offered.tag("svc"), case.offered);
+        view.set_peer_rate(RateKind::Relayed.tag("svc"), case.relayed);
         let overflow = view.overflow(now, &service());
         let error = (overflow - case.overflow).abs();
         assert!(error < 0.03, "{}: {overflow}", case.name);
@@ -97,7 +97,7 @@
 
 #[test]
 fn spare_capacity_is_shared_and_never_exceeded_by_chance() {
-    let mut table = AwayTable::default();
+    let mut table = RemoteTable::default();
     let spare_of = [("r1", 100_000), ("r2", 50_000)];
     for (region, spare) in spare_of {
         let load = ServiceLoad {
@@ -111,14 +111,14 @@
     }
     let own = "r0".parse().unwrap();
     let (needs, trips) = (needs(), RoundTrips::default());
-    let search = AwaySearch {
+    let search = RemoteSearch {
         needs: &needs,
         service_tag: name_tag("svc"),
         own_region: &own,
         prefix_home: None,
         trips: &trips,
         work: Duration::from_millis(5),
-        work_at_home: Duration::from_millis(5),
+        work_with_prefix: Duration::from_millis(5),
         excluded: &[],
     };
     let mut rng = StdRng::seed_from_u64(3);
--- a/crates/fleet/tests/choice.rs
+++ b/crates/fleet/tests/choice.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use onyxfall_fleet::{
-    AnswerShape, AttemptResult, AwaySearch, AwayTable, CallNeeds, CallerLimits, ConfigVersion,
-    EngineLimits, FleetView, HomeRegions, LocalOption, PromptPart, PromptSize, RepeatRule,
-    RoundTrips, RouteRule, RouteTable, RouteTarget, ServerPhase, ServerRecord, ServiceLoad,
-    UnreadTokens, WorkShare,
+    AttemptResult, CallRequirements, CallerLimits, ConfigVersion, EngineLimits, FleetView,
+    HomeRegions, LocalOption, PrefillTokens, PromptPart, PromptSize, RemoteSearch, RemoteTable,
+    RepeatRule, ResponseShape, RoundTrips, RouteRule, RouteTable, RouteTarget, ServerPhase,
+    ServerRecord, ServiceLoad, WorkShare,
 };
 use onyxfall_types::{RegionName, ServerId, name_tag};
 use rand::SeedableRng;
@@ -35,9 +35,9 @@
     }
 }
 
-fn needs(shared: u64, input: u64) -> CallNeeds {
+fn needs(shared: u64, input: u64) -> CallRequirements {
     let part = |id, tokens| PromptPart { id, tokens };
-    CallNeeds {
+    CallRequirements {
         service: "svc".parse().unwrap(),
         engine: Some(ENGINE),
         prompt: PromptSize {
@@ -54,11 +54,11 @@
     }
 }
 
-fn choose(view: &mut FleetView, needs: &CallNeeds, excluded: &[ServerId]) -> LocalOption {
+fn choose(view: &mut FleetView, needs: &CallRequirements, excluded: &[ServerId]) -> LocalOption {
     view.choose(at(0), needs, excluded, &mut StdRng::seed_from_u64(1))
 }
 
-fn chosen(view: &mut FleetView, needs: &CallNeeds) -> ServerId {
+fn chosen(view: &mut FleetView, needs: &CallRequirements) -> ServerId {
     match choose(view, needs, &[]) {
         LocalOption::Free(choice) => choice.server,
         other => panic!("no server: {other:?}"),
@@ -174,7 +174,7 @@
     }
     let busy = WorkShare {
         requests: 1,
-        unread: UnreadTokens::of(5, 60_000),
+        unread: PrefillTokens::of(5, 60_000),
         ..WorkShare::default()
     };
     view.server_mut(owner).set_others(at(0), busy);
@@ -211,7 +211,7 @@
         view.server(id).own_work(at(0)),
         WorkShare {
             requests: 1,
-            unread: UnreadTokens::of(5, 1000),
+            unread: PrefillTokens::of(5, 1000),
             memory: 1100,
             flow,
             ..WorkShare::default()
@@ -280,7 +280,7 @@
     let own = "r0".parse().unwrap();
     let trips = RoundTrips::default();
     for case in cases {
-        let mut table = AwayTable::default();
+        let mut table = RemoteTable::default();
         let load = ServiceLoad {
             wait: Duration::from_millis(case.load.0),
             usable: case.load.1,
@@ -297,14 +297,14 @@
             .iter()
             .map(|region| region.parse().unwrap())
             .collect();
-        let search = AwaySearch {
+        let search = RemoteSearch {
             needs: &needs,
             service_tag: name_tag("svc"),
             own_region: &own,
             prefix_home: None,
             trips: &trips,
             work: Duration::from_millis(5),
-            work_at_home: Duration::from_millis(5),
+            work_with_prefix: Duration::from_millis(5),
             excluded: &excluded,
         };
         let found = table.best(at(case.heard_ms), &search);
@@ -315,7 +315,7 @@
 #[test]
 fn work_sent_away_counts_as_much_as_it_is() {
     let own = "r0".parse().unwrap();
-    let mut table = AwayTable::default();
+    let mut table = RemoteTable::default();
     let load = ServiceLoad {
         wait: Duration::from_millis(30),
         usable: 2,
@@ -333,15 +333,15 @@
     let mut plain = needs(500, 1000);
     plain.engine = None;
     let trips = RoundTrips::default();
-    let best = |table: &AwayTable, needs: &CallNeeds, tag| {
-        let search = AwaySearch {
+    let best = |table: &RemoteTable, needs: &CallRequirements, tag| {
+        let search = RemoteSearch {
             needs,
             service_tag: tag,
             own_region: &own,
             prefix_home: None,
             trips: &trips,
             work: Duration::from_millis(5),
-            work_at_home: Duration::from_millis(5),
+            work_with_prefix: Duration::from_millis(5),
             excluded: &[],
         };
         table.best(at(0), &search).unwrap()
@@ -377,19 +377,19 @@
         };
         BTreeMap::from([(name_tag("svc"), load)])
     };
-    let search = AwaySearch {
+    let search = RemoteSearch {
         needs: &needs,
         service_tag: name_tag("svc"),
         own_region: &own,
         prefix_home: None,
         trips: &trips,
         work: Duration::from_millis(20),
-        work_at_home: Duration::from_millis(20),
+        work_with_prefix: Duration::from_millis(20),
         excluded: &[],
     };
     let trip = Duration::from_millis(100);
     // Another VM that sends 20 ms of work each 100 ms tells its rate.
-    let mut neighbour = AwayTable::default();
+    let mut neighbour = RemoteTable::default();
     neighbour.hear(at(0), &region, trip, loads());
     for turn in 0..100 {
         let now = at(turn * 100);
@@ -399,15 +399,15 @@
     }
     let (tag, rate) = neighbour.own_rates(at(9900)).next().unwrap();
     assert!((0.15..0.27).contains(&rate), "{rate}");
-    let mut table = AwayTable::default();
+    let mut table = RemoteTable::default();
     table.hear(at(10_000), &region, trip, loads());
-    let first = |table: &AwayTable, ms| table.best(at(ms), &search).unwrap().predicted.first;
+    let first = |table: &RemoteTable, ms| table.best(at(ms), &search).unwrap().predicted.first;
     let before = first(&table, 10_000);
     let now = at(10_000);
-    assert!(table.set_told_rate(now, tag, rate));
-    assert!(!table.set_told_rate(now, tag + 1, rate), "an unknown rate");
+    assert!(table.set_peer_rate(now, tag, rate));
+    assert!(!table.set_peer_rate(now, tag + 1, rate), "an unknown rate");
     // 150 ms before the word, and 250 ms after it, over two servers.
-    let added = |table: &AwayTable, ms| first(table, ms).checked_sub(before).unwrap();
+    let added = |table: &RemoteTable, ms| first(table, ms).checked_sub(before).unwrap();
     for (ms, unknown, surge) in [(10_000, 0.150, 1.0), (10_250, 0.400, 0.85)] {
         let expected = Duration::from_secs_f64(unknown * rate * surge / 2.0);
         assert!(
@@ -426,7 +426,7 @@
         host: "a.example".to_owned(),
         path_prefix: path_prefix.to_owned(),
         repeat: RepeatRule::Once,
-        shape: AnswerShape::Whole,
+        shape: ResponseShape::Whole,
         timeout: Duration::from_secs(1),
         goal: Duration::from_secs(1),
         priority: 0,
@@ -512,7 +512,7 @@
     let owner = chosen(&mut view, &needs(5000, 5600));
     let busy = WorkShare {
         requests: 1,
-        unread: UnreadTokens::of(5, 10_000),
+        unread: PrefillTokens::of(5, 10_000),
         ..WorkShare::default()
     };
     view.server_mut(owner).set_others(at(0), busy);
@@ -547,7 +547,7 @@
     let now = at(1_000_000);
     let reading = WorkShare {
         requests: 3,
-        unread: UnreadTokens::of(9, 15_000),
+        unread: PrefillTokens::of(9, 15_000),
         ..WorkShare::default()
     };
     let mut long = needs(0, 100);
--- a/crates/fleet/tests/fleets.rs
+++ b/crates/fleet/tests/fleets.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use onyxfall_fleet::{
-    FleetView, MirrorChange, ServerBirth, ServerRecord, StoreEvent, StoreHealth, StoreItem,
+    FleetView, MirrorChange, ServerRecord, StartTime, StoreEvent, StoreHealth, StoreItem,
     StoreMirror,
 };
 use onyxfall_policy::Moment;
@@ -74,7 +74,7 @@
 
 fn record(name: &str, born: u64) -> ServerRecord {
     ServerRecord {
-        born: ServerBirth::from_millis(born),
+        born: StartTime::from_millis(born),
         ..ready_server(name)
     }
 }
--- a/crates/fleet/tests/follow.rs
+++ b/crates/fleet/tests/follow.rs
@@ -115,10 +115,10 @@
         let mut now = Moment::ZERO;
         for news in &case.news {
             match *news {
-                Change(own, base, is_whole) => check.note_change(own, base, is_whole),
-                Watcher(own, other) => check.note_watcher(now, own, other),
-                Other(own, other) => check.note_other(now, own, other),
-                Read => check.note_read(now),
+                Change(own, base, is_whole) => check.record_change(own, base, is_whole),
+                Watcher(own, other) => check.compare_with_watcher(now, own, other),
+                Other(own, other) => check.record_peer_state(now, own, other),
+                Read => check.record_full_read(now),
                 Wait(time) => now = now + time,
             }
         }
@@ -134,14 +134,14 @@
     let mut now = Moment::ZERO;
     for told in 4..400 {
         let own = state(told - 4, 0);
-        check.note_other(now, own, state(told, 0));
+        check.record_peer_state(now, own, state(told, 0));
         assert!(!check.is_due(now), "after {told} changes");
         assert!(!check.asks(now, Some(own), state(told, 0)), "{told}");
         now = now + change;
     }
     let own = state(400, 0);
-    check.note_other(now, own, state(404, 0));
+    check.record_peer_state(now, own, state(404, 0));
     now = now + BEHIND_LIMIT;
-    check.note_other(now, own, state(420, 0));
+    check.record_peer_state(now, own, state(420, 0));
     assert!(check.is_due(now), "it stands still");
 }
--- a/crates/fleet/tests/learn.rs
+++ b/crates/fleet/tests/learn.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use onyxfall_fleet::{
-    AnswerLengths, AttemptResult, CallNeeds, CostReport, CostTeller, CostView, DecisionSwitch,
+    AttemptResult, CallRequirements, CostReport, CostSource, CostView, DecisionSwitch,
     DecisionSwitches, EngineCosts, EngineLimits, EngineLoad, FleetView, HomeRegions, PlainCosts,
-    PromptPart, PromptSize, RoundTrips, ServerRecord, ServiceCosts, WorkShare,
+    PromptPart, PromptSize, ResponseLengths, RoundTrips, ServerRecord, ServiceCosts, WorkShare,
 };
 use onyxfall_policy::Moment;
 use onyxfall_types::ServerId;
@@ -163,8 +163,8 @@
     view.find(name).unwrap()
 }
 
-fn needs(id: u64, input: u64) -> CallNeeds {
-    CallNeeds {
+fn needs(id: u64, input: u64) -> CallRequirements {
+    CallRequirements {
         service: "svc".parse().unwrap(),
         engine: Some(EngineLimits {
             slots: 64,
@@ -239,7 +239,7 @@
     play(&mut view, &[(server, 5.0)], 20);
     assert_eq!(view.cost_reports(CostView::Own).count(), 0);
     assert!(
-        view.read_time(&"svc".parse().unwrap(), 1000) == Duration::from_millis(20),
+        view.prefill_time(&"svc".parse().unwrap(), 1000) == Duration::from_millis(20),
         "{before:?}"
     );
 }
@@ -252,10 +252,10 @@
     let (service, report) = learned.cost_reports(CostView::Own).next().unwrap();
     let mut fresh = view();
     let server = add_server(&mut fresh, "s", 64);
-    assert!(!fresh.hear_costs(
+    assert!(!fresh.receive_costs(
         at(0),
         &"vm1".parse().unwrap(),
-        CostTeller::Member,
+        CostSource::Member,
         service,
         report
     ));
@@ -335,7 +335,7 @@
         let absurd = costs.hear(
             at(0),
             &"vm1".parse().unwrap(),
-            CostTeller::Member,
+            CostSource::Member,
             case.report,
         );
         assert_eq!(absurd, case.absurd, "{}", case.name);
@@ -403,7 +403,7 @@
             view.end_attempt(now, server, number, AttemptResult::Succeeded, None);
         }
         let now = at(case.following * 100);
-        let unread = view.server(server).unread_tokens(now, &first.prompt);
+        let unread = view.server(server).prefill_tokens(now, &first.prompt);
         assert_eq!(unread, case.unread, "{}", case.name);
     }
 }
@@ -485,7 +485,7 @@
             prop_assert!(costs.pace_ms(&load, f64::from(running)).is_finite());
             prop_assert!(plain.service_ms().is_finite() && plain.service_ms() > 0.0);
         }
-        let mut answers = AnswerLengths::default();
+        let mut answers = ResponseLengths::default();
         for (tokens, events) in lengths {
             answers.learn("r", tokens, events);
             let expected = answers.expected("r", tokens);
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use onyxfall_fleet::{AttemptResult, FleetView, LimitReports, LimitWord, LocalOption, WorkShare};
+use onyxfall_fleet::{AttemptResult, FleetView, LimitReports, LimitSignal, LocalOption, WorkShare};
 use onyxfall_policy::Moment;
 use onyxfall_types::{RequestRate, ServerId, VmName};
 use proptest::prelude::*;
@@ -24,8 +24,8 @@
     format!("vm{number}").parse().unwrap()
 }
 
-fn rate(per_second: f64) -> LimitWord {
-    LimitWord::Rate(RequestRate::new(per_second).unwrap())
+fn rate(per_second: f64) -> LimitSignal {
+    LimitSignal::Rate(RequestRate::new(per_second).unwrap())
 }
 
 fn told(vms: u32, thousandths: u64) -> WorkShare {
@@ -53,18 +53,18 @@
 }
 
 /// Sends where the VM may, and takes the answer at once.
-fn try_send(view: &mut FleetView, now: Moment, attempt: u64, word: LimitWord) -> bool {
+fn try_send(view: &mut FleetView, now: Moment, attempt: u64, word: LimitSignal) -> bool {
     let LocalOption::Free(choice) = choose(view, now) else {
         return false;
     };
     view.start_attempt(now, choice.server, attempt, &needs());
-    view.take_limit(now, choice.server, word, Some(now));
+    view.apply_limit(now, choice.server, word, Some(now));
     view.end_attempt(now, choice.server, attempt, AttemptResult::Succeeded, None);
     true
 }
 
 /// Moments at which VMs send that always have something to send.
-fn arrivals(views: &mut [FleetView], word: LimitWord, from_ms: u64, to_ms: u64) -> Vec<u64> {
+fn arrivals(views: &mut [FleetView], word: LimitSignal, from_ms: u64, to_ms: u64) -> Vec<u64> {
     let mut arrivals = Vec::new();
     for ms in (from_ms..to_ms).step_by(usize::try_from(STEP_MS).unwrap()) {
         for view in &mut *views {
@@ -104,7 +104,7 @@
             .collect();
         for view in &mut views {
             let server = server_of(view);
-            view.take_limit(at(0), server, rate(limit), Some(at(0)));
+            view.apply_limit(at(0), server, rate(limit), Some(at(0)));
         }
         let arrivals = arrivals(&mut views, rate(limit), 0, 10_000);
         let most = busiest_window(&arrivals);
@@ -119,9 +119,9 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// An answer to a request that was sent at the first moment, read at the second.
-    Answer(u64, u64, LimitWord),
+    Answer(u64, u64, LimitSignal),
     /// An answer that is another request's.
-    Stray(u64, LimitWord),
+    Stray(u64, LimitSignal),
     /// What the other VMs have read: VMs, and thousandths of a request a second.
     Told(u64, u32, u64),
 }
@@ -136,7 +136,7 @@
 #[test]
 fn a_limit_holds_until_a_later_answer_names_none() {
     use Step::{Answer, Stray, Told};
-    let none = LimitWord::None;
+    let none = LimitSignal::None;
     let cases = [
         BeliefCase {
             name: "named and no longer named",
@@ -157,7 +157,7 @@
             name: "a malformed word",
             steps: vec![
                 Answer(0, 100, rate(2.0)),
-                Answer(200, 300, LimitWord::Malformed),
+                Answer(200, 300, LimitSignal::Malformed),
             ],
             limits: vec![(300, Some(2.0))],
         },
@@ -192,8 +192,10 @@
         let server = server_of(&view);
         for step in &case.steps {
             match *step {
-                Answer(sent, read, word) => view.take_limit(at(read), server, word, Some(at(sent))),
-                Stray(read, word) => view.take_limit(at(read), server, word, None),
+                Answer(sent, read, word) => {
+                    view.apply_limit(at(read), server, word, Some(at(sent)))
+                }
+                Stray(read, word) => view.apply_limit(at(read), server, word, None),
                 Told(ms, vms, thousandths) => {
                     view.server_mut(server)
                         .set_others(at(ms), told(vms, thousandths));
@@ -216,7 +218,7 @@
     view.server_mut(server).set_others(at(0), told(3, 6000));
     let own = view.server(server).own_work(at(0)).limits;
     assert_eq!(own, LimitReports::default());
-    view.take_limit(at(0), server, rate(1.5), Some(at(0)));
+    view.apply_limit(at(0), server, rate(1.5), Some(at(0)));
     let own = view.server(server).own_work(at(0)).limits;
     assert_eq!(own, told(1, 1500).limits);
 }
@@ -225,9 +227,9 @@
 fn where_every_server_has_a_limit_the_next_turn_is_told() {
     let mut view = view_of(0, &[]);
     assert!(try_send(&mut view, at(0), 1, rate(2.0)));
-    assert_eq!(choose(&mut view, at(100)), LocalOption::Held(at(500)));
+    assert_eq!(choose(&mut view, at(100)), LocalOption::BackedOff(at(500)));
     let alone = view.choose_alone(at(100), &needs(), &[]);
-    assert_eq!(alone, LocalOption::Held(at(500)));
+    assert_eq!(alone, LocalOption::BackedOff(at(500)));
     assert_eq!(view.free_servers(at(100), &needs()).count(), 0);
     assert!(matches!(choose(&mut view, at(500)), LocalOption::Free(_)));
 }
--- a/crates/fleet/tests/lives.rs
+++ b/crates/fleet/tests/lives.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use onyxfall_fleet::{
-    AttemptResult, FleetView, ServerBirth, ServerPhase, ServerRecord, ServerVotes, WorkShare,
+    AttemptResult, FleetView, ServerPhase, ServerRecord, ServerVotes, StartTime, WorkShare,
 };
 use proptest::prelude::*;
 use support::{at, place, ready_server};
@@ -18,7 +18,7 @@
 
 fn record(name: &str, born: u64, phase: ServerPhase) -> ServerRecord {
     ServerRecord {
-        born: ServerBirth::from_millis(born),
+        born: StartTime::from_millis(born),
         phase,
         cold_left: Duration::from_secs(5),
         ..ready_server(name)
@@ -167,7 +167,7 @@
         for (name, born) in latest {
             let id = fleet.find(name).unwrap();
             prop_assert_eq!(fleet.server(id).record.born.millis(), born);
-            prop_assert_eq!(fleet.find_life(fleet.server(id).life_hash()), Some(id));
+            prop_assert_eq!(fleet.find_instance(fleet.server(id).instance_hash()), Some(id));
         }
     }
 }
--- a/crates/fleet/tests/quota.rs
+++ b/crates/fleet/tests/quota.rs
@@ -9,7 +9,7 @@
 
 use expect_test::expect;
 use onyxfall_fleet::{
-    QuotaDecision, QuotaLimit, QuotaPeers, QuotaSettings, QuotaTable, QuotaUnit, QuotaWay,
+    QuotaDecision, QuotaLimit, QuotaMode, QuotaPeers, QuotaSettings, QuotaTable, QuotaUnit,
 };
 use onyxfall_policy::Moment;
 use onyxfall_types::RegionName;
@@ -78,7 +78,7 @@
 }
 
 const SETTINGS: QuotaSettings = QuotaSettings {
-    way: QuotaWay::Pooled,
+    way: QuotaMode::Pooled,
     window: Duration::from_secs(8),
     over: 0.1,
     slack: 140_000.0,
@@ -104,7 +104,7 @@
 }
 
 impl Fleet {
-    fn new(case: &QuotaCase, way: QuotaWay, seed: u64) -> Self {
+    fn new(case: &QuotaCase, way: QuotaMode, seed: u64) -> Self {
         let names = ["ra", "rb", "rc"];
         let mut fleet = Self {
             tables: Vec::new(),
@@ -119,7 +119,7 @@
         fleet
     }
 
-    fn table(&self, case: &QuotaCase, way: QuotaWay, now: Moment) -> QuotaTable {
+    fn table(&self, case: &QuotaCase, way: QuotaMode, now: Moment) -> QuotaTable {
         let mut table = QuotaTable::default();
         table.set_settings(QuotaSettings { way, ..SETTINGS });
         table.set_peers(self.peers(case, 1.0));
@@ -127,9 +127,9 @@
         table
     }
 
-    fn peers(&self, case: &QuotaCase, heard_part: f64) -> QuotaPeers {
+    fn peers(&self, case: &QuotaCase, reachable_share: f64) -> QuotaPeers {
         QuotaPeers {
-            heard_part,
+            reachable_share,
             vms: case.vms,
             regions: self.regions.len(),
         }
@@ -163,7 +163,7 @@
             for vm in 0..case.vms {
                 let others = sums[self.region_of(vm)] - near[vm];
                 self.tables[vm].set_peers(peers);
-                self.tables[vm].set_near(now, TEAM, if alone { 0.0 } else { others });
+                self.tables[vm].set_peer_demand(now, TEAM, if alone { 0.0 } else { others });
             }
         }
         if !step.is_multiple_of(FAR_EVERY) || self.told.len() <= FAR_LAG || alone || apart {
@@ -188,7 +188,7 @@
         sums
     }
 
-    fn play(&mut self, case: &QuotaCase, way: QuotaWay) -> DayFigures {
+    fn play(&mut self, case: &QuotaCase, way: QuotaMode) -> DayFigures {
         let mean = LONG_PART * LONG + (1.0 - LONG_PART) * SHORT;
         let mut admitted: Vec<f64> = Vec::new();
         let (mut calm, mut refused) = (0.0, 0.0);
@@ -324,7 +324,7 @@
 #[test]
 fn a_flood_is_cut_to_the_limit_and_nothing_below_it_is_refused() {
     let mut table = String::new();
-    for way in [QuotaWay::EqualParts, QuotaWay::Pooled] {
+    for way in [QuotaMode::EqualParts, QuotaMode::Pooled] {
         let _ = writeln!(table, "{way:<31} window refused flood");
         for case in cases() {
             let mut worst = DayFigures::default();
@@ -342,7 +342,7 @@
                 worst.refused_calm * 1e2,
                 worst.used_in_flood * 1e2,
             );
-            if way == QuotaWay::Pooled && !case.is_extreme() {
+            if way == QuotaMode::Pooled && !case.is_extreme() {
                 assert!(worst.worst_window <= 1.0, "{}: {table}", case.name);
                 let most = case.most_refused();
                 assert!(worst.refused_calm < most, "{}: {table}", case.name);
--- a/crates/fleet/tests/shares.rs
+++ b/crates/fleet/tests/shares.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use onyxfall_fleet::{
-    BackendService, BudgetLimits, CallNeeds, CallerLimits, ColdShare, ConfigVersion, FleetView,
-    HomeRegions, LocalOption, PromptSize, RetryShare, RouteTable, SENDERS, ServerRecord,
+    BackendService, BudgetLimits, CallRequirements, CallerLimits, ColdShare, ConfigVersion,
+    FleetView, HomeRegions, LocalOption, PromptSize, RetryShare, RouteTable, SENDERS, ServerRecord,
     is_cold_sender,
 };
 use onyxfall_types::{ServerName, VmName};
@@ -169,8 +169,8 @@
     RouteTable::new(ConfigVersion(1), Vec::new(), vec![service], limits)
 }
 
-fn plain_needs() -> CallNeeds {
-    CallNeeds {
+fn plain_needs() -> CallRequirements {
+    CallRequirements {
         service: "svc".parse().unwrap(),
         engine: None,
         prompt: PromptSize::default(),
--- a/crates/fleet/tests/silence.rs
+++ b/crates/fleet/tests/silence.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use onyxfall_fleet::{
-    AttemptResult, CallNeeds, EngineLimits, FleetView, HomeRegions, PromptSize, ServerRecord,
-    ServerVotes, WorkShare,
+    AttemptResult, CallRequirements, EngineLimits, FleetView, HomeRegions, PromptSize,
+    ServerRecord, ServerVotes, WorkShare,
 };
 use onyxfall_policy::Moment;
 use onyxfall_types::ServerId;
@@ -32,8 +32,8 @@
     (view, id)
 }
 
-fn needs() -> CallNeeds {
-    CallNeeds {
+fn needs() -> CallRequirements {
+    CallRequirements {
         service: "svc".parse().unwrap(),
         engine: Some(ENGINE),
         prompt: PromptSize {
--- a/crates/fleet/tests/size.rs
+++ b/crates/fleet/tests/size.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use onyxfall_fleet::{
-    CallNeeds, EngineLimits, FleetView, HomeRegions, LocalOption, PromptPart, PromptSize,
+    CallRequirements, EngineLimits, FleetView, HomeRegions, LocalOption, PromptPart, PromptSize,
     ServerRecord,
 };
 use onyxfall_types::ServerName;
@@ -13,9 +13,9 @@
 use rand::rngs::StdRng;
 use support::{CENTERS, NEAR, at, large_view, numbered_record, place};
 
-fn needs(shared: u64) -> CallNeeds {
+fn needs(shared: u64) -> CallRequirements {
     let part = |id, tokens| PromptPart { id, tokens };
-    CallNeeds {
+    CallRequirements {
         service: "svc".parse().unwrap(),
         engine: Some(EngineLimits {
             slots: 24,
@@ -98,7 +98,7 @@
 fn an_older_life_does_not_replace_a_newer_one_that_was_never_used() {
     let mut view = FleetView::new(place("vm0", &CENTERS));
     let born = |number: usize, millis| ServerRecord {
-        born: onyxfall_fleet::ServerBirth::from_millis(millis),
+        born: onyxfall_fleet::StartTime::from_millis(millis),
         ..numbered_record(number, "c0")
     };
     for number in 0..2000 {
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use onyxfall_fleet::{
-    CallNeeds, FleetView, HomeRegions, PromptSize, ServerBirth, ServerPhase, ServerRecord, VmPlace,
+    CallRequirements, FleetView, HomeRegions, PromptSize, ServerPhase, ServerRecord, StartTime,
+    VmLocation,
 };
 use onyxfall_policy::Moment;
 use rand::SeedableRng;
@@ -17,13 +18,13 @@
 }
 
 /// Where a VM stands: in the first of the data centres.
-pub fn place(vm: &str, centers: &[(&str, &str)]) -> VmPlace {
+pub fn place(vm: &str, centers: &[(&str, &str)]) -> VmLocation {
     let centers: Vec<_> = centers
         .iter()
         .map(|(center, region)| (center.parse().unwrap(), region.parse().unwrap()))
         .collect();
     let (center, region) = centers[0].clone();
-    VmPlace {
+    VmLocation {
         vm: vm.parse().unwrap(),
         center,
         region,
@@ -35,7 +36,7 @@
 pub fn ready_server(name: &str) -> ServerRecord {
     ServerRecord {
         name: name.parse().unwrap(),
-        born: ServerBirth::UNKNOWN,
+        born: StartTime::UNKNOWN,
         service: "svc".parse().unwrap(),
         version: None,
         address: ([127, 0, 0, 1], 1).into(),
@@ -77,8 +78,8 @@
 }
 
 /// What a plain request needs whose caller waits for long.
-pub fn needs() -> CallNeeds {
-    CallNeeds {
+pub fn needs() -> CallRequirements {
+    CallRequirements {
         service: "svc".parse().unwrap(),
         engine: None,
         prompt: PromptSize::default(),
--- a/crates/fleet/tests/words.rs
+++ b/crates/fleet/tests/words.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use onyxfall_fleet::{
-    CallNeeds, FleetView, HomeRegions, LocalOption, PromptSize, RestWord, ServerBirth,
-    ServerRecord, ServerWord, WordNews,
+    BackoffSignal, CallRequirements, FleetView, HomeRegions, LocalOption, PromptSize, ServerRecord,
+    ServerSignals, SignalChanges, StartTime,
 };
 use onyxfall_policy::Moment;
 use onyxfall_types::ServerId;
@@ -25,13 +25,13 @@
 
 fn record(name: &str, born: u64) -> ServerRecord {
     ServerRecord {
-        born: ServerBirth::from_millis(born),
+        born: StartTime::from_millis(born),
         ..ready_server(name)
     }
 }
 
-fn needs() -> CallNeeds {
-    CallNeeds {
+fn needs() -> CallRequirements {
+    CallRequirements {
         service: "svc".parse().unwrap(),
         engine: None,
         prompt: PromptSize::default(),
@@ -43,17 +43,17 @@
     }
 }
 
-fn leaving() -> ServerWord {
-    ServerWord {
+fn leaving() -> ServerSignals {
+    ServerSignals {
         is_leaving: true,
-        ..ServerWord::default()
+        ..ServerSignals::default()
     }
 }
 
-fn rest(millis: u64) -> ServerWord {
-    ServerWord {
-        rest: RestWord::For(Duration::from_millis(millis)),
-        ..ServerWord::default()
+fn rest(millis: u64) -> ServerSignals {
+    ServerSignals {
+        rest: BackoffSignal::For(Duration::from_millis(millis)),
+        ..ServerSignals::default()
     }
 }
 
@@ -158,10 +158,10 @@
                 Remove => fleet.remove_server(at(0), "s"),
                 Sent => sent = fleet.find("s"),
                 Leave => {
-                    fleet.take_word(at(0), sent.unwrap(), &leaving());
+                    fleet.apply_signals(at(0), sent.unwrap(), &leaving());
                 }
                 Rest(millis) => {
-                    fleet.take_word(at(0), sent.unwrap(), &rest(millis));
+                    fleet.apply_signals(at(0), sent.unwrap(), &rest(millis));
                 }
             }
         }
@@ -184,7 +184,7 @@
 fn a_word_that_may_be_a_later_lifes_keeps_it_without_work() {
     struct DoubtCase {
         name: &'static str,
-        word: ServerWord,
+        word: ServerSignals,
         told: u64,
         born: u64,
         known: u64,
@@ -228,7 +228,7 @@
         let mut fleet = view();
         fleet.put_server(at(0), record("s", 5), None);
         let former = fleet.find("s").unwrap();
-        fleet.take_word(at(case.told), former, &case.word);
+        fleet.apply_signals(at(case.told), former, &case.word);
         fleet.put_server(at(case.known), record("s", case.born), None);
         let later = fleet.find("s").unwrap();
         for (millis, expected) in case.may_send {
@@ -243,17 +243,35 @@
     let mut fleet = view();
     fleet.put_server(at(0), record("s", 5), None);
     let id = fleet.find("s").unwrap();
-    let news = |leaves, rests| WordNews { leaves, rests };
-    assert_eq!(fleet.take_word(at(0), id, &leaving()), news(true, false));
-    assert_eq!(fleet.take_word(at(0), id, &leaving()), news(false, false));
-    assert_eq!(fleet.take_word(at(0), id, &rest(500)), news(false, true));
-    assert_eq!(fleet.take_word(at(0), id, &rest(400)), news(false, false));
-    assert_eq!(fleet.take_word(at(100), id, &rest(500)), news(false, true));
-    let malformed = ServerWord {
-        rest: RestWord::Malformed,
-        ..ServerWord::default()
+    let news = |leaves, rests| SignalChanges { leaves, rests };
+    assert_eq!(
+        fleet.apply_signals(at(0), id, &leaving()),
+        news(true, false)
+    );
+    assert_eq!(
+        fleet.apply_signals(at(0), id, &leaving()),
+        news(false, false)
+    );
+    assert_eq!(
+        fleet.apply_signals(at(0), id, &rest(500)),
+        news(false, true)
+    );
+    assert_eq!(
+        fleet.apply_signals(at(0), id, &rest(400)),
+        news(false, false)
+    );
+    assert_eq!(
+        fleet.apply_signals(at(100), id, &rest(500)),
+        news(false, true)
+    );
+    let malformed = ServerSignals {
+        rest: BackoffSignal::Malformed,
+        ..ServerSignals::default()
     };
-    assert_eq!(fleet.take_word(at(0), id, &malformed), news(false, false));
+    assert_eq!(
+        fleet.apply_signals(at(0), id, &malformed),
+        news(false, false)
+    );
 }
 
 #[test]
@@ -263,14 +281,17 @@
         fleet.put_server(at(0), record(name, 5), None);
     }
     let ids = ["s1", "s2"].map(|name| fleet.find(name).unwrap());
-    fleet.take_word(at(0), ids[0], &rest(3000));
+    fleet.apply_signals(at(0), ids[0], &rest(3000));
     assert!(
         matches!(choose(&mut fleet, at(0)), LocalOption::Free(choice) if choice.server == ids[1])
     );
-    fleet.take_word(at(0), ids[1], &rest(2000));
-    assert_eq!(choose(&mut fleet, at(100)), LocalOption::Held(at(2000)));
+    fleet.apply_signals(at(0), ids[1], &rest(2000));
+    assert_eq!(
+        choose(&mut fleet, at(100)),
+        LocalOption::BackedOff(at(2000))
+    );
     let alone = fleet.choose_alone(at(100), &needs(), &[]);
-    assert_eq!(alone, LocalOption::Held(at(2000)));
+    assert_eq!(alone, LocalOption::BackedOff(at(2000)));
     assert_eq!(fleet.free_servers(at(100), &needs()).count(), 0);
 }
 
@@ -280,13 +301,13 @@
     let mut fleet = view();
     fleet.put_server(at(0), record("s", 5), None);
     let id = fleet.find("s").unwrap();
-    fleet.take_word(at(0), id, &rest(1000));
+    fleet.apply_signals(at(0), id, &rest(1000));
     let is_free = |option| matches!(option, LocalOption::Free(_));
     assert!(is_free(choose(&mut fleet, at(1000))), "the first may try");
     fleet.start_attempt(at(1000), id, 1, &needs());
     assert_eq!(
         choose(&mut fleet, at(1001)),
-        LocalOption::Held(at(1001)),
+        LocalOption::BackedOff(at(1001)),
         "the others wait"
     );
     assert!(fleet.may_send(at(1001), id), "the try itself may be sent");
@@ -338,12 +359,12 @@
                 Event::Remove(name) => fleet.remove_server(at(now), NAMES[name]),
                 Event::Wait(millis) => now += millis,
                 Event::Leave(name) => if let Some(id) = fleet.find(NAMES[name]) {
-                    fleet.take_word(at(now), id, &leaving());
+                    fleet.apply_signals(at(now), id, &leaving());
                     let born = fleet.server(id).record.born.millis();
                     lives.entry((name, born)).or_default().leaves = true;
                 },
                 Event::Rest(name, millis) => if let Some(id) = fleet.find(NAMES[name]) {
-                    fleet.take_word(at(now), id, &rest(millis));
+                    fleet.apply_signals(at(now), id, &rest(millis));
                     let born = fleet.server(id).record.born.millis();
                     let life = lives.entry((name, born)).or_default();
                     life.rests_until = life.rests_until.max(now + millis);
--- a/crates/gateway/src/asking.rs
+++ b/crates/gateway/src/asking.rs
@@ -26,7 +26,7 @@
 
 /// What wakes the links of a member and of its aggregator, and when it was told last.
 #[derive(Debug, Default)]
-pub(crate) struct WorkAsks {
+pub(crate) struct WorkQueries {
     told: Cell<Option<Moment>>,
     asked: Cell<Option<Moment>>,
     answered: Notify,
@@ -40,36 +40,40 @@
 
 impl Gateway {
     /// Notes that this VM has begun or ended a request.
-    pub(crate) fn note_own_change(&self) {
-        self.asks.own_changed.notify_one();
-        self.asks.changed.notify_waiters();
+    pub(crate) fn record_own_change(&self) {
+        self.queries.own_changed.notify_one();
+        self.queries.changed.notify_waiters();
     }
 
     /// Notes that an aggregator has told its sum.
     pub(crate) fn note_digest(&self) {
-        self.asks.told.set(Some(self.now()));
-        self.asks.asked.set(None);
-        self.asks.answered.notify_waiters();
+        self.queries.told.set(Some(self.now()));
+        self.queries.asked.set(None);
+        self.queries.answered.notify_waiters();
     }
 
     /// Hears what others have under way, where this VM reports to an aggregator and was
     /// told long ago.
-    pub(crate) async fn hear_before_choice(&self) {
+    pub(crate) async fn query_before_choice(&self) {
         let now = self.now();
-        let is_fresh = self.asks.told.get().is_some_and(|told| now - told < FRESH);
+        let is_fresh = self
+            .queries
+            .told
+            .get()
+            .is_some_and(|told| now - told < FRESH);
         if is_fresh || !self.is_on(DecisionSwitch::NearHeartbeats) || !self.is_member() {
             return;
         }
-        let asked = self.asks.asked.get().unwrap_or_else(|| {
-            self.asks.asked.set(Some(now));
-            self.asks.ask_now.notify_one();
+        let asked = self.queries.asked.get().unwrap_or_else(|| {
+            self.queries.asked.set(Some(now));
+            self.queries.ask_now.notify_one();
             now
         });
         let left = ASK_WAIT.saturating_sub(now - asked);
         if left.is_zero() {
             return;
         }
-        let answered = self.asks.answered.notified();
+        let answered = self.queries.answered.notified();
         if tokio::time::timeout(left, answered).await.is_err() {
             self.metrics.count("onyxfall_unanswered_asks_total");
         }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -12,21 +12,21 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use onyxfall_adapter::{
-    AnswerKind, idle_limit, read_answer, read_word, set_copy_to, set_expected_server, set_team,
-    set_time_left, set_urgency,
+    ResponseKind, classify_response, keep_alive_timeout, parse_signals, set_copy_to,
+    set_expected_server, set_team, set_time_left, set_urgency,
 };
 use onyxfall_fleet::{AttemptResult, ChoiceReason, DecisionSwitch, TimePrediction};
 use onyxfall_types::{RunVerdict, ServerId};
 
-use crate::backup::RunCopy;
+use crate::backup::RunBackup;
 use crate::call::{CallContext, SharedCall};
 use crate::connection::{HttpConnection, LATE_DIAL_LIMIT, NEAR_DIAL_LIMIT, SendError};
 use crate::gateway::Gateway;
 use crate::open::OpenAttempt;
 use crate::pool::ConnectionChoice;
 use crate::relay::{PeerTarget, read_verdict, set_relay_headers};
-use crate::silence::{wait_for_replacement, wait_for_silence};
 use crate::suspension::within_deadline;
+use crate::unresponsive::{wait_for_replacement, wait_until_unresponsive};
 
 /// Largest body of a refusal that is read so that its connection can be kept.
 const REFUSAL_BODY_LIMIT: usize = 64 * 1024;
@@ -49,7 +49,7 @@
 }
 
 /// Head of an answer, with the body still to come.
-pub(crate) struct UpstreamAnswer {
+pub(crate) struct UpstreamResponse {
     /// Status as sent.
     pub(crate) status: StatusCode,
     /// Headers as sent.
@@ -65,10 +65,10 @@
     /// Events that have come so far.
     pub(crate) events: u32,
     /// Where a copy of the run is kept, if anywhere.
-    pub(crate) copy: Option<RunCopy>,
+    pub(crate) copy: Option<RunBackup>,
 }
 
-impl UpstreamAnswer {
+impl UpstreamResponse {
     /// Books the end, and keeps the connection if the answer is whole.
     pub(crate) fn finish(mut self, gateway: &Gateway, result: AttemptResult) {
         if let Some(booking) = &mut self.booking {
@@ -76,7 +76,7 @@
         }
         let is_whole = matches!(result, AttemptResult::Succeeded | AttemptResult::Failed);
         if is_whole {
-            let limit = idle_limit(&self.headers);
+            let limit = keep_alive_timeout(&self.headers);
             gateway.pool.put(self.address, self.connection, limit);
         }
     }
@@ -85,7 +85,7 @@
 /// How an attempt ended.
 pub(crate) enum AttemptEnd {
     /// An answer has begun.
-    Answer(Box<UpstreamAnswer>),
+    Answer(Box<UpstreamResponse>),
     /// It did not run and will not.
     NotRun {
         /// Whether the request reached a server.
@@ -141,7 +141,7 @@
     let exchanged = if call.rules.repeatable {
         tokio::select! {
             exchanged = exchanged => exchanged,
-            () = wait_for_silence(Rc::clone(gateway), target.id) => Err(ExchangeFailure::Silent),
+            () = wait_until_unresponsive(Rc::clone(gateway), target.id) => Err(ExchangeFailure::Silent),
         }
     } else {
         tokio::select! {
@@ -156,23 +156,23 @@
             return failure.into_end();
         }
     };
-    let kind = read_answer(response.status(), response.headers(), &call.request_id);
-    if kind != AnswerKind::WrongServer {
-        let word = read_word(response.status(), response.headers());
-        gateway.note_word(call, target.id, word);
-        let is_own = matches!(kind, AnswerKind::Signed | AnswerKind::NotRun);
+    let kind = classify_response(response.status(), response.headers(), &call.request_id);
+    if kind != ResponseKind::WrongServer {
+        let word = parse_signals(response.status(), response.headers());
+        gateway.record_signals(call, target.id, word);
+        let is_own = matches!(kind, ResponseKind::Signed | ResponseKind::NotRun);
         let sent = is_own.then(|| booking.started());
-        gateway.note_limit(target.id, word.limit, sent);
-        gateway.note_unknown_words(response.headers());
+        gateway.record_limit(target.id, word.limit, sent);
+        gateway.record_unknown_signal_headers(response.headers());
     }
     match kind {
-        AnswerKind::Signed => {
+        ResponseKind::Signed => {
             booking.answer();
             let mut answer = upstream(connection, response, target.address, Some(booking));
             answer.copy = copy;
             AttemptEnd::Answer(Box::new(answer))
         }
-        AnswerKind::NotRun => {
+        ResponseKind::NotRun => {
             booking.finish(AttemptResult::Shed);
             keep_after_refusal(gateway, target.address, connection, response).await;
             AttemptEnd::NotRun {
@@ -180,15 +180,15 @@
                 cause: "the server did not take it",
             }
         }
-        AnswerKind::WrongServer => {
+        ResponseKind::WrongServer => {
             booking.finish(AttemptResult::Unknown);
-            gateway.note_replaced(&target.name);
+            gateway.record_replaced(&target.name);
             AttemptEnd::NotRun {
                 arrived: true,
                 cause: "another server has the address",
             }
         }
-        AnswerKind::Stray => {
+        ResponseKind::Stray => {
             booking.finish(AttemptResult::Broken);
             AttemptEnd::Lost {
                 cause: "the answer is not this request's",
@@ -235,8 +235,8 @@
             },
         };
     }
-    match read_answer(response.status(), response.headers(), &call.request_id) {
-        AnswerKind::Signed => AttemptEnd::Answer(Box::new(upstream(
+    match classify_response(response.status(), response.headers(), &call.request_id) {
+        ResponseKind::Signed => AttemptEnd::Answer(Box::new(upstream(
             connection,
             response,
             target.address,
@@ -390,9 +390,9 @@
     response: Response<Incoming>,
     address: SocketAddr,
     booking: Option<OpenAttempt>,
-) -> UpstreamAnswer {
+) -> UpstreamResponse {
     let (head, body) = response.into_parts();
-    UpstreamAnswer {
+    UpstreamResponse {
         status: head.status,
         headers: head.headers,
         body,
@@ -415,7 +415,7 @@
     let rest = Limited::new(body, REFUSAL_BODY_LIMIT).collect();
     let read = tokio::time::timeout(REFUSAL_BODY_WAIT, rest).await;
     if matches!(read, Ok(Ok(_))) {
-        let limit = idle_limit(&head.headers);
+        let limit = keep_alive_timeout(&head.headers);
         gateway.pool.put(address, connection, limit);
     }
 }
--- a/crates/gateway/src/backup.rs
+++ b/crates/gateway/src/backup.rs
@@ -13,12 +13,12 @@
 use onyxfall_suspects::SuspectVerdict;
 use onyxfall_types::ServerId;
 
-use crate::attempt::{AttemptEnd, ServerTarget, UpstreamAnswer, try_server};
-use crate::call::{AnswerRule, SharedCall};
+use crate::attempt::{AttemptEnd, ServerTarget, UpstreamResponse, try_server};
+use crate::call::{ResponseRule, SharedCall};
 use crate::gateway::Gateway;
 
 /// A copy of a run; the memory that it takes is booked while this lives.
-pub(crate) struct RunCopy {
+pub(crate) struct RunBackup {
     gateway: Rc<Gateway>,
     /// Server that holds it.
     server: ServerId,
@@ -29,7 +29,7 @@
     source: SocketAddr,
 }
 
-impl Drop for RunCopy {
+impl Drop for RunBackup {
     fn drop(&mut self) {
         self.gateway.metrics.count("onyxfall_copies_freed_total");
         let mut fleet = self.gateway.fleet.borrow_mut();
@@ -43,8 +43,8 @@
         self: &Rc<Self>,
         call: &SharedCall,
         target: &ServerTarget,
-    ) -> Option<RunCopy> {
-        if call.rules.answer != AnswerRule::LostWithServer {
+    ) -> Option<RunBackup> {
+        if call.rules.answer != ResponseRule::LostWithServer {
             return None;
         }
         let copied_gb = self.settings().costs.copied_gb;
@@ -70,7 +70,7 @@
             "run is copied"
         );
         self.metrics.count("onyxfall_copies_total");
-        Some(RunCopy {
+        Some(RunBackup {
             gateway: Rc::clone(self),
             server,
             address,
@@ -85,9 +85,9 @@
 pub(crate) async fn continue_run(
     gateway: &Rc<Gateway>,
     call: &SharedCall,
-    copy: RunCopy,
+    copy: RunBackup,
     last_event: &str,
-) -> Option<Box<UpstreamAnswer>> {
+) -> Option<Box<UpstreamResponse>> {
     let target = copy_target(gateway, call, &copy)?;
     if matches!(gateway.judge(call), SuspectVerdict::Quarantined { .. }) {
         return None;
@@ -124,7 +124,7 @@
     None
 }
 
-fn copy_target(gateway: &Gateway, call: &SharedCall, copy: &RunCopy) -> Option<ServerTarget> {
+fn copy_target(gateway: &Gateway, call: &SharedCall, copy: &RunBackup) -> Option<ServerTarget> {
     let fleet = gateway.fleet.borrow();
     let now = gateway.now();
     let server = fleet.server(copy.server);
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -8,7 +8,7 @@
 use http::header::HOST;
 use http::{HeaderMap, Method, Uri};
 use onyxfall_clock::BootInstant;
-use onyxfall_fleet::{CallNeeds, ConfigVersion};
+use onyxfall_fleet::{CallRequirements, ConfigVersion};
 use onyxfall_suspects::{FingerprintParts, RequestFingerprint};
 use onyxfall_types::{TeamName, VmName};
 
@@ -23,7 +23,7 @@
 
 /// What an answer is, and what becomes of one that breaks off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AnswerRule {
+pub(crate) enum ResponseRule {
     /// One body.
     Whole,
     /// A stream that is lost with its server: no other may go on with it, unless it
@@ -35,7 +35,7 @@
     ResumedBySender,
 }
 
-impl AnswerRule {
+impl ResponseRule {
     /// Whether the answer is a series of events.
     pub(crate) fn is_stream(self) -> bool {
         self != Self::Whole
@@ -48,7 +48,7 @@
     /// Whether it may be sent again after it may have run.
     pub(crate) repeatable: bool,
     /// What its answer is, and what becomes of one that breaks off.
-    pub(crate) answer: AnswerRule,
+    pub(crate) answer: ResponseRule,
     /// Most servers that may run it.
     pub(crate) max_attempts: u32,
 }
@@ -67,7 +67,7 @@
     /// Version of the configuration that it was matched by.
     pub(crate) version: ConfigVersion,
     /// What it needs of a server.
-    pub(crate) needs: CallNeeds,
+    pub(crate) needs: CallRequirements,
     /// How it may be served.
     pub(crate) rules: CallRules,
     /// Method as the caller sent it.
--- a/crates/gateway/src/copies.rs
+++ b/crates/gateway/src/copies.rs
@@ -33,7 +33,7 @@
 
 /// The parts that were made last, for all links that ask.
 #[derive(Debug, Default)]
-pub(crate) struct MadeParts {
+pub(crate) struct CachedParts {
     /// State of the copy that they are of, and whether it was steady.
     of: Option<(CopyState, bool)>,
     parts: Option<CopyParts>,
@@ -145,7 +145,7 @@
             let is_settled = !store.is_watched() || store.health(self.now()) == StoreHealth::Steady;
             self.copy_is_whole() && is_settled && !mirror.has_missing()
         };
-        let made = &mut *self.made_parts.borrow_mut();
+        let made = &mut *self.cached_parts.borrow_mut();
         let of = Some((mirror.state(), is_steady));
         if let Some(parts) = made.parts.as_ref().filter(|_| made.of == of) {
             return CopyParts::clone(parts);
--- a/crates/gateway/src/costs.rs
+++ b/crates/gateway/src/costs.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use onyxfall_clock::BootInstant;
-use onyxfall_fleet::{CostReport, CostTeller, CostView, PromptSize};
+use onyxfall_fleet::{CostReport, CostSource, CostView, PromptSize};
 use onyxfall_types::{VmName, name_tag};
 use onyxfall_wire::ServiceCostEntry;
 
@@ -15,9 +15,9 @@
 
 /// When costs were last told on a link.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct CostsTold(Option<BootInstant>);
+pub(crate) struct CostCursor(Option<BootInstant>);
 
-impl CostsTold {
+impl CostCursor {
     /// What to tell now: nothing if it was told a moment ago.
     pub(crate) fn due(&mut self, gateway: &Gateway, view: CostView) -> Vec<ServiceCostEntry> {
         if self.0.is_some_and(|at| at.elapsed() < COSTS_INTERVAL) {
@@ -54,7 +54,7 @@
 pub(crate) fn take_costs(
     gateway: &Gateway,
     from: &VmName,
-    teller: CostTeller,
+    teller: CostSource,
     entries: &[ServiceCostEntry],
 ) {
     if entries.is_empty() {
@@ -71,7 +71,7 @@
         let (Some(service), Some(report)) = (named, read_entry(entry)) else {
             continue;
         };
-        if fleet.hear_costs(now, from, teller, &service.name, report) {
+        if fleet.receive_costs(now, from, teller, &service.name, report) {
             gateway.metrics.count("onyxfall_absurd_costs_total");
         }
     }
@@ -105,7 +105,7 @@
     }
 
     /// Takes a whole answer of `events`.
-    pub(crate) fn note_length(&self, route: &str, prompt: &PromptSize, events: u32) {
+    pub(crate) fn record_response_length(&self, route: &str, prompt: &PromptSize, events: u32) {
         let mut lengths = self.lengths.borrow_mut();
         lengths.learn(route, prompt.likely_output(), events);
     }
--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use onyxfall_fleet::{
-    AwayOption, AwaySearch, CallNeeds, ChoicePolicy, DecisionSwitch, FleetView, LocalOption,
-    RateKind, RoundTrips, ServerChoice, TimePrediction, goes_away,
+    CallRequirements, ChoicePolicy, DecisionSwitch, FleetView, LocalOption, RateKind, RemoteOption,
+    RemoteSearch, RoundTrips, ServerChoice, TimePrediction, goes_remote,
 };
 use onyxfall_policy::Moment;
 use onyxfall_types::{RefusalReason, RequestError, name_tag};
@@ -94,8 +94,8 @@
             (LocalOption::Full, None) => {
                 RouteStep::Refuse(overloaded("every server is full", call.needs.goal / 2))
             }
-            (LocalOption::Held(end), None) => self.wait_for_rest(call, end - now),
-            (LocalOption::Resting | LocalOption::None, None) => {
+            (LocalOption::BackedOff(end), None) => self.wait_for_rest(call, end - now),
+            (LocalOption::Unavailable | LocalOption::None, None) => {
                 self.wait_or_refuse(call, "no server is usable", call.needs.goal / 2)
             }
         }
@@ -107,7 +107,7 @@
         now: Moment,
         call: &SharedCall,
         choice: ServerChoice,
-        away: Option<AwayOption>,
+        away: Option<RemoteOption>,
         progress: &CallProgress,
     ) -> RouteStep {
         let fleet = self.fleet.borrow();
@@ -119,11 +119,11 @@
             return self.send_away(call, away, progress);
         }
         if let Some(away) = away {
-            let unread = server.unread_shared(now, &call.needs.prompt);
-            let saved = fleet.read_time(&call.needs.service, unread);
+            let unread = server.shared_prefill_tokens(now, &call.needs.prompt);
+            let saved = fleet.prefill_time(&call.needs.service, unread);
             let (goal, local) = (call.needs.goal, choice.predicted.loaded);
             let there = away.predicted.loaded;
-            if goes_away(goal, local, saved, there, away.holds_prefix) {
+            if goes_remote(goal, local, saved, there, away.holds_prefix) {
                 log::info!(
                     request = call.request_id.as_str(),
                     region = away.region.as_str(),
@@ -151,7 +151,7 @@
         call: &CallContext,
         fleet: &FleetView,
         progress: &CallProgress,
-    ) -> Option<AwayOption> {
+    ) -> Option<RemoteOption> {
         let needs = &call.needs;
         if needs.engine.is_some() || !self.leaves(call) {
             return None;
@@ -169,7 +169,7 @@
         }
         let excluded = self.closed_regions(&progress.vms);
         let trips = self.trips.borrow();
-        let search = AwaySearch {
+        let search = RemoteSearch {
             excluded: &excluded,
             ..plain_search(fleet, &trips, needs)
         };
@@ -179,7 +179,7 @@
         } else {
             fleet.excess(now, &needs.service)
         };
-        let away = self.away.borrow();
+        let away = self.remote_table.borrow();
         let drawn = away.draw_spare(now, &search, limit, excess, rng)?;
         log::info!(
             request = call.request_id.as_str(),
@@ -192,7 +192,7 @@
     }
 
     /// Counts a request for the rates of its service, with its first attempt.
-    pub(crate) fn note_rate(&self, call: &CallContext, progress: &CallProgress) {
+    pub(crate) fn record_request(&self, call: &CallContext, progress: &CallProgress) {
         if progress.arrivals + progress.unreached > 0 {
             return;
         }
@@ -202,7 +202,7 @@
         };
         let now = self.now();
         let mut fleet = self.fleet.borrow_mut();
-        fleet.note_rate(now, &call.needs.service, kind);
+        fleet.record_request(now, &call.needs.service, kind);
     }
 
     /// Whether a request may leave the region.
@@ -228,7 +228,7 @@
         let own = u32::try_from(own.count()).unwrap_or(u32::MAX);
         let drawn = if call.may_leave() {
             let rng = &mut *self.rng.borrow_mut();
-            self.away.borrow().draw(now, &search, own, rng)
+            self.remote_table.borrow().draw(now, &search, own, rng)
         } else {
             None
         };
@@ -276,7 +276,7 @@
     fn send_away(
         &self,
         call: &CallContext,
-        away: AwayOption,
+        away: RemoteOption,
         progress: &CallProgress,
     ) -> RouteStep {
         let Some(target) = self.relay_target(&away.region, &progress.vms) else {
@@ -285,7 +285,7 @@
         };
         let tag = name_tag(call.needs.service.as_str());
         let now = self.now();
-        self.away.borrow_mut().note_sent(now, &away, tag);
+        self.remote_table.borrow_mut().note_sent(now, &away, tag);
         RouteStep::Peer(PeerTarget {
             vm: target.vm,
             address: target.address,
@@ -313,24 +313,27 @@
         now: Moment,
         call: &CallContext,
         progress: &CallProgress,
-    ) -> Option<AwayOption> {
+    ) -> Option<RemoteOption> {
         if !self.leaves(call) {
             return None;
         }
         let excluded = self.closed_regions(&progress.vms);
         let fleet = self.fleet.borrow();
         let trips = self.trips.borrow();
-        let search = AwaySearch {
+        let search = RemoteSearch {
             prefix_home: fleet.prefix_home(&call.needs),
             excluded: &excluded,
             ..plain_search(&fleet, &trips, &call.needs)
         };
-        self.away.borrow().best(now, &search)
+        self.remote_table.borrow().best(now, &search)
     }
 }
 
 /// What a request needs from here on: of a stream, what the caller does not have yet.
-fn remaining_needs<'a>(call: &'a CallContext, progress: &CallProgress) -> Cow<'a, CallNeeds> {
+fn remaining_needs<'a>(
+    call: &'a CallContext,
+    progress: &CallProgress,
+) -> Cow<'a, CallRequirements> {
     if progress.events == 0 {
         return Cow::Borrowed(&call.needs);
     }
@@ -345,16 +348,16 @@
 fn plain_search<'a>(
     fleet: &'a FleetView,
     trips: &'a RoundTrips,
-    needs: &'a CallNeeds,
-) -> AwaySearch<'a> {
-    AwaySearch {
+    needs: &'a CallRequirements,
+) -> RemoteSearch<'a> {
+    RemoteSearch {
         needs,
         service_tag: name_tag(needs.service.as_str()),
         own_region: &fleet.place().region,
         prefix_home: None,
         trips,
         work: fleet.work_of(needs, 0),
-        work_at_home: fleet.work_of(needs, needs.prompt.shared_tokens()),
+        work_with_prefix: fleet.work_of(needs, needs.prompt.shared_tokens()),
         excluded: &[],
     }
 }
--- a/crates/gateway/src/frames.rs
+++ b/crates/gateway/src/frames.rs
@@ -8,15 +8,15 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use onyxfall_fleet::{LimitReports, ServerVotes, UnreadTokens, WorkShare};
+use onyxfall_fleet::{LimitReports, PrefillTokens, ServerVotes, WorkShare};
 use onyxfall_overlay::{
-    LinkRelation, OverlayUpdate, RecordVersion, RosterWord, ServerTag, VmCapacity, VmRecord,
-    VmStatus, WordScope, WorkEntry, WorkWord,
+    LinkRelation, OverlayUpdate, RecordVersion, RosterUpdate, ServerTag, UpdateScope, VmCapacity,
+    VmRecord, VmStatus, WorkEntry, WorkUpdate,
 };
-use onyxfall_suspects::{CrashNews, LifeNews, LifeTag, RequestNews, SuspectNews};
+use onyxfall_suspects::{CrashUpdate, InstanceTag, InstanceUpdate, RequestUpdate, SuspectUpdate};
 use onyxfall_types::{CenterName, Incarnation, RegionName};
 use onyxfall_wire::{
-    LostLifeEntry, ServerWorkEntry, SuspectEntry, VmEntry, VmUpdate, VmWord, WorkSet,
+    LostInstanceEntry, ServerWorkEntry, SuspectEntry, VmEntry, VmRosterUpdate, VmUpdate, WorkSet,
 };
 
 /// The regions of the data centres that the settings name.
@@ -104,8 +104,8 @@
     })
 }
 
-fn wire_word(word: &RosterWord) -> VmWord {
-    VmWord {
+fn wire_word(word: &RosterUpdate) -> VmRosterUpdate {
+    VmRosterUpdate {
         scope: word.scope.number(),
         is_whole: word.is_whole,
         vms: word.records.iter().map(vm_entry).collect(),
@@ -113,9 +113,9 @@
     }
 }
 
-fn read_word(word: &VmWord, regions: &CenterRegions) -> Option<RosterWord> {
-    Some(RosterWord {
-        scope: WordScope::from_number(word.scope)?,
+fn read_word(word: &VmRosterUpdate, regions: &CenterRegions) -> Option<RosterUpdate> {
+    Some(RosterUpdate {
+        scope: UpdateScope::from_number(word.scope)?,
         is_whole: word.is_whole,
         records: word
             .vms
@@ -130,7 +130,7 @@
     })
 }
 
-fn wire_work(work: &WorkWord) -> WorkSet {
+fn wire_work(work: &WorkUpdate) -> WorkSet {
     WorkSet {
         is_whole: work.is_whole,
         servers: work
@@ -151,8 +151,8 @@
     }
 }
 
-fn read_work(work: &WorkSet) -> WorkWord {
-    WorkWord {
+fn read_work(work: &WorkSet) -> WorkUpdate {
+    WorkUpdate {
         is_whole: work.is_whole,
         entries: work
             .servers
@@ -161,7 +161,7 @@
                 server: ServerTag(entry.server),
                 share: WorkShare {
                     requests: entry.requests,
-                    unread: UnreadTokens::from_slice(&entry.unread),
+                    unread: PrefillTokens::from_slice(&entry.unread),
                     memory: entry.memory,
                     flow: entry.flow,
                     votes: ServerVotes {
@@ -179,7 +179,7 @@
 }
 
 /// Adds news of suspects to a message.
-pub(crate) fn wire_suspects(news: &SuspectNews, update: &mut VmUpdate) {
+pub(crate) fn wire_suspects(news: &SuspectUpdate, update: &mut VmUpdate) {
     let requests = news.requests.iter();
     update.suspects = requests
         .map(|request| SuspectEntry {
@@ -192,7 +192,7 @@
         .collect();
     let lives = news.lives.iter();
     update.lost_lives = lives
-        .map(|life| LostLifeEntry {
+        .map(|life| LostInstanceEntry {
             life: life.life.number(),
             survivals: life.survivals,
             lost_ms: life.lost.map(wire_millis),
@@ -201,32 +201,32 @@
 }
 
 /// News of suspects in a message, and the number of entries that make no sense.
-pub(crate) fn read_suspects(update: &VmUpdate) -> (SuspectNews, u64) {
-    let requests: Vec<RequestNews> = update.suspects.iter().filter_map(read_suspect).collect();
+pub(crate) fn read_suspects(update: &VmUpdate) -> (SuspectUpdate, u64) {
+    let requests: Vec<RequestUpdate> = update.suspects.iter().filter_map(read_suspect).collect();
     let malformed = update.suspects.len() - requests.len();
-    let lives = update.lost_lives.iter().map(|entry| LifeNews {
-        life: LifeTag::from_number(entry.life),
+    let lives = update.lost_lives.iter().map(|entry| InstanceUpdate {
+        life: InstanceTag::from_number(entry.life),
         survivals: entry.survivals,
         lost: entry.lost_ms.map(read_millis),
     });
-    let news = SuspectNews {
+    let news = SuspectUpdate {
         requests,
         lives: lives.collect(),
     };
     (news, malformed as u64)
 }
 
-fn read_suspect(entry: &SuspectEntry) -> Option<RequestNews> {
+fn read_suspect(entry: &SuspectEntry) -> Option<RequestUpdate> {
     let lives = entry.lives.len();
     if lives != entry.ages_ms.len() || lives != entry.survivals.len() {
         return None;
     }
     let crashes = entry.lives.iter().zip(&entry.ages_ms).zip(&entry.survivals);
-    Some(RequestNews {
+    Some(RequestUpdate {
         fingerprint: entry.fingerprint.as_ref().try_into().ok()?,
         crashes: crashes
-            .map(|((life, age), survivals)| CrashNews {
-                life: LifeTag::from_number(*life),
+            .map(|((life, age), survivals)| CrashUpdate {
+                life: InstanceTag::from_number(*life),
                 age: read_millis(*age),
                 survivals: *survivals,
             })
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -11,7 +11,7 @@
 use onyxfall_adapter::OPERATOR_PREFIX;
 use onyxfall_clock::{BootInstant, SuspensionWatch};
 use onyxfall_fleet::{
-    AnswerLengths, AwayTable, DecisionSwitch, FleetView, QuotaTable, RetryShare, RoundTrips,
+    DecisionSwitch, FleetView, QuotaTable, RemoteTable, ResponseLengths, RetryShare, RoundTrips,
     RouteTable, StoreMirror,
 };
 use onyxfall_overlay::{KnownVm, OverlayNode, RecordVersion, RosterTiming, VmRecord, VmStatus};
@@ -22,9 +22,8 @@
 use rand::rngs::StdRng;
 use tokio::sync::Notify;
 
-use crate::asking::WorkAsks;
 use crate::connection::DialPlan;
-use crate::copies::{IncomingCopy, MadeParts};
+use crate::copies::{CachedParts, IncomingCopy};
 use crate::metrics::GatewayMetrics;
 use crate::pool::ConnectionPool;
 use crate::relays::RelayTable;
@@ -32,6 +31,7 @@
 use crate::share::StoreShare;
 use crate::store::StoreLink;
 use crate::suspects::SharedBoard;
+use crate::work_queries::WorkQueries;
 
 /// Look at what has changed by time alone: silence is noticed this much later.
 const TICK: Duration = Duration::from_millis(100);
@@ -64,13 +64,13 @@
     /// When this VM last looked at its own work to tell it.
     pub(crate) own_work_at: Cell<Option<Moment>>,
     /// Unknown headers by which servers describe themselves, as far as they were logged.
-    pub(crate) unknown_words: RefCell<BTreeSet<String>>,
+    pub(crate) unknown_signal_headers: RefCell<BTreeSet<String>>,
     pub(crate) relays: RefCell<RelayTable>,
-    pub(crate) away: RefCell<AwayTable>,
+    pub(crate) remote_table: RefCell<RemoteTable>,
     /// Round trips to other regions.
     pub(crate) trips: RefCell<RoundTrips>,
     /// Lengths of the answers of each route.
-    pub(crate) lengths: RefCell<AnswerLengths>,
+    pub(crate) lengths: RefCell<ResponseLengths>,
     retries: RefCell<BTreeMap<ServiceName, RetryShare>>,
     /// What teams use of their limits.
     pub(crate) quotas: RefCell<QuotaTable>,
@@ -79,7 +79,7 @@
     /// Notified when the first roll-out is heard of.
     pub(crate) rollout_known: Notify,
     /// Steps of roll-outs as they were last logged.
-    pub(crate) told_phases: RefCell<BTreeMap<ServiceName, &'static str>>,
+    pub(crate) logged_phases: RefCell<BTreeMap<ServiceName, &'static str>>,
     /// Requests that crash servers.
     pub(crate) suspects: SharedBoard,
     pub(crate) pool: ConnectionPool,
@@ -88,7 +88,7 @@
     /// The order in which VMs watch the store, and the roster's changes that it is of.
     pub(crate) watch_order: RefCell<Option<(u64, Rc<[VmName]>)>>,
     /// This VM's copy of the store, cut into parts for others.
-    pub(crate) made_parts: RefCell<MadeParts>,
+    pub(crate) cached_parts: RefCell<CachedParts>,
     /// A copy of the store that another VM is giving to this one.
     pub(crate) incoming_copy: RefCell<Option<IncomingCopy>>,
     pub(crate) metrics: GatewayMetrics,
@@ -99,14 +99,14 @@
     /// Notified after a suspension.
     pub(crate) woken: Notify,
     pub(crate) suspension: Cell<SuspensionWatch>,
-    pub(crate) tell_now: Notify,
-    pub(crate) asks: WorkAsks,
+    pub(crate) send_updates_now: Notify,
+    pub(crate) queries: WorkQueries,
     /// Wakes what waits for a server that is taken for silent.
     pub(crate) silence: Notify,
     /// Servers that were taken for silent when they were last looked at.
-    pub(crate) silent_servers: RefCell<BTreeSet<ServerId>>,
+    pub(crate) unresponsive_servers: RefCell<BTreeSet<ServerId>>,
     /// Sends changes of the store to the VMs that report to this one.
-    pub(crate) deltas_now: Notify,
+    pub(crate) send_deltas_now: Notify,
     pub(crate) rng: RefCell<StdRng>,
     next_attempt: Cell<u64>,
 }
@@ -142,15 +142,15 @@
             status: VmStatus::default(),
         };
         let timing = RosterTiming {
-            silent_after: SILENT_AFTER,
-            fleet_word_life: FLEET_WORD_LIFE,
+            unresponsive_after: SILENT_AFTER,
+            fleet_update_lifetime: FLEET_WORD_LIFE,
             forget_after: FORGET_AFTER,
         };
         let overlay = OverlayNode::new(own, timing, settings.seeds.clone());
         let mut fleet = FleetView::new(place.clone());
         fleet.set_unix_start(unix_start);
         fleet.set_switches(settings.switches.clone());
-        fleet.set_reread_price(settings.costs.reread_price);
+        fleet.set_reprefill_penalty(settings.costs.reprefill_penalty);
         let mut quotas = QuotaTable::default();
         quotas.set_settings(settings.quotas);
         Self {
@@ -161,22 +161,22 @@
             mirror: RefCell::new(StoreMirror::with_operator(OPERATOR_PREFIX)),
             overlay: RefCell::new(overlay),
             own_work_at: Cell::new(None),
-            unknown_words: RefCell::default(),
+            unknown_signal_headers: RefCell::default(),
             relays: RefCell::default(),
-            away: RefCell::default(),
+            remote_table: RefCell::default(),
             trips: RefCell::default(),
             lengths: RefCell::default(),
             retries: RefCell::default(),
             quotas: RefCell::new(quotas),
             rollouts: RefCell::new(RolloutTable::new(place.region, unix_start)),
             rollout_known: Notify::new(),
-            told_phases: RefCell::default(),
+            logged_phases: RefCell::default(),
             suspects: SharedBoard::default(),
             pool: ConnectionPool::default(),
             store: RefCell::default(),
             share: RefCell::default(),
             watch_order: RefCell::default(),
-            made_parts: RefCell::default(),
+            cached_parts: RefCell::default(),
             incoming_copy: RefCell::default(),
             metrics: GatewayMetrics::default(),
             stop_asked: Cell::new(None),
@@ -184,11 +184,11 @@
             open_streams: Cell::new(0),
             woken: Notify::new(),
             suspension: Cell::new(SuspensionWatch::start()),
-            tell_now: Notify::new(),
-            asks: WorkAsks::default(),
+            send_updates_now: Notify::new(),
+            queries: WorkQueries::default(),
             silence: Notify::new(),
-            silent_servers: RefCell::default(),
-            deltas_now: Notify::new(),
+            unresponsive_servers: RefCell::default(),
+            send_deltas_now: Notify::new(),
             rng: RefCell::new(StdRng::from_os_rng()),
             next_attempt: Cell::new(1),
             settings: RefCell::new(Rc::new(settings)),
@@ -209,7 +209,7 @@
     pub(crate) fn set_settings(&self, settings: GatewaySettings) {
         let mut fleet = self.fleet.borrow_mut();
         fleet.set_switches(settings.switches.clone());
-        fleet.set_reread_price(settings.costs.reread_price);
+        fleet.set_reprefill_penalty(settings.costs.reprefill_penalty);
         self.quotas.borrow_mut().set_settings(settings.quotas);
         self.overlay.borrow_mut().set_seeds(settings.seeds.clone());
         *self.settings.borrow_mut() = Rc::new(settings);
@@ -283,18 +283,18 @@
     }
 
     /// Whether any other VM is known to live.
-    pub(crate) fn knows_others(&self) -> bool {
+    pub(crate) fn has_live_peers(&self) -> bool {
         let overlay = self.overlay.borrow();
         overlay.roster().others().any(KnownVm::is_alive)
     }
 
     /// Lets time count: silent VMs, missing items, idle connections.
     fn tick(&self) {
-        self.look_for_suspension(BootInstant::now());
+        self.check_suspension(BootInstant::now());
         let now = self.now();
         self.overlay.borrow_mut().tick(now);
         self.apply_work(now);
-        self.refresh_silence(now);
+        self.refresh_unresponsive(now);
         self.tell_changes();
         self.refresh_status();
         self.refresh_quota_peers(now);
@@ -322,7 +322,7 @@
     /// Logs which VMs have come to life or fallen silent.
     fn tell_changes(&self) {
         let mut overlay = self.overlay.borrow_mut();
-        let mut news = overlay.roster_mut().take_news();
+        let mut news = overlay.roster_mut().take_changes();
         news.sort_unstable();
         news.dedup();
         if news.is_empty() {
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -28,7 +28,7 @@
 use crate::gateway::Gateway;
 use crate::listen::accept;
 use crate::share::DeltaAudience;
-use crate::updates::{UpdateTaken, UpdateTold};
+use crate::updates::{UpdateReceiveState, UpdateSendState};
 
 type FramedLink = Framed<TcpStream, PeerCodec>;
 
@@ -90,14 +90,14 @@
     }
 
     /// Time between two updates on a link, by what there is to tell.
-    fn tell_interval(&self, relation: LinkRelation, told: &UpdateTold) -> Duration {
+    fn tell_interval(&self, relation: LinkRelation, told: &UpdateSendState) -> Duration {
         let now = self.now();
         if relation == LinkRelation::Report {
             self.refresh_own_work(now);
         }
         let mut overlay = self.overlay.borrow_mut();
-        let has_news = overlay.has_news(relation, told.link());
-        let is_dense = has_news && self.is_on(DecisionSwitch::NearHeartbeats);
+        let has_changes = overlay.has_changes(relation, told.link());
+        let is_dense = has_changes && self.is_on(DecisionSwitch::NearHeartbeats);
         overlay.plan(now).interval(relation, is_dense)
     }
 }
@@ -105,7 +105,7 @@
 /// Tells every VM at once of a change of this one; used when it leaves.
 pub(crate) fn tell_all(gateway: &Rc<Gateway>) {
     gateway.refresh_status();
-    gateway.tell_now.notify_waiters();
+    gateway.send_updates_now.notify_waiters();
 }
 
 /// Keeps a link as long as it is planned.
@@ -170,7 +170,7 @@
     link: FramedLink,
     /// The VM at the other end, once it has said who it is.
     peer: Option<VmRecord>,
-    told: UpdateTold,
+    told: UpdateSendState,
     /// What the other end last told on this link.
     heard: Option<LinkRelation>,
     next_delta: u64,
@@ -186,7 +186,7 @@
             gateway,
             link: Framed::new(stream, PeerCodec::default()),
             peer: None,
-            told: UpdateTold::default(),
+            told: UpdateSendState::default(),
             heard: None,
             next_delta: gateway.share.borrow().next_number(),
             asks: false,
@@ -221,12 +221,12 @@
                         continue;
                     }
                     () = tokio::time::sleep_until(until) => break,
-                    () = self.gateway.tell_now.notified() => break,
-                    () = self.gateway.asks.ask_now.notified(), if is_report => {
+                    () = self.gateway.send_updates_now.notified() => break,
+                    () = self.gateway.queries.ask_now.notified(), if is_report => {
                         self.asks = true;
                         break;
                     }
-                    () = self.gateway.asks.own_changed.notified(), if is_report => {
+                    () = self.gateway.queries.own_changed.notified(), if is_report => {
                         self.gateway.own_work_at.set(None);
                         continue;
                     }
@@ -257,13 +257,13 @@
                     self.send_part().await?;
                     continue;
                 }
-                () = self.gateway.deltas_now.notified() => {
+                () = self.gateway.send_deltas_now.notified() => {
                     if is_member {
                         self.send_deltas(DeltaAudience::Members).await?;
                     }
                     continue;
                 }
-                () = self.gateway.asks.changed.notified(), if is_member => continue,
+                () = self.gateway.queries.changed.notified(), if is_member => continue,
                 () = wait_due(self.gateway, due), if is_member => {
                     self.send_update(LinkRelation::Digest, false).await?;
                     told_sum = Some(tokio::time::Instant::now());
@@ -308,7 +308,7 @@
     }
 
     /// Takes one frame; the first one must say who is at the other end.
-    async fn take(&mut self, frame: PeerFrame) -> Result<Option<UpdateTaken>, FrameError> {
+    async fn take(&mut self, frame: PeerFrame) -> Result<Option<UpdateReceiveState>, FrameError> {
         let Some(peer) = self.peer.as_ref().map(|peer| peer.name.clone()) else {
             let peer = take_hello(self.gateway, frame).ok_or(FrameError::Closed)?;
             self.peer = Some(peer);
@@ -333,7 +333,7 @@
         &mut self,
         peer: &VmName,
         update: &VmUpdate,
-    ) -> Result<UpdateTaken, FrameError> {
+    ) -> Result<UpdateReceiveState, FrameError> {
         let taken = self.gateway.take_update(peer, update);
         let taken = taken.ok_or(FrameError::Closed)?;
         self.heard = taken.relation.or(self.heard);
@@ -386,7 +386,7 @@
     let Some(due) = due else { return };
     tokio::select! {
         () = tokio::time::sleep_until(due) => {}
-        () = gateway.tell_now.notified() => {}
+        () = gateway.send_updates_now.notified() => {}
     }
 }
 
--- a/crates/gateway/src/listen.rs
+++ b/crates/gateway/src/listen.rs
@@ -18,12 +18,12 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use onyxfall_adapter::{CallHead, forward_headers, hide_credential, read_call};
 use onyxfall_clock::BootInstant;
-use onyxfall_fleet::{AnswerShape, CallNeeds, RouteRule, RouteTable, TeamRule};
+use onyxfall_fleet::{CallRequirements, ResponseShape, RouteRule, RouteTable, TeamRule};
 use onyxfall_types::{RefusalReason, RequestError, RunVerdict};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 use crate::body::ReplyBody;
-use crate::call::{AnswerRule, CallContext, CallOrigin, CallRules};
+use crate::call::{CallContext, CallOrigin, CallRules, ResponseRule};
 use crate::connection::watch_peer;
 use crate::directory::handle_directory;
 use crate::gateway::Gateway;
@@ -180,7 +180,7 @@
 
 async fn handle_caller(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<ReplyBody> {
     let arrived = BootInstant::now();
-    gateway.look_for_suspension(arrived);
+    gateway.check_suspension(arrived);
     let head = read_call(request.headers());
     let request_id = head.as_ref().map(|head| head.request_id.clone());
     let result = match read_request(&gateway, request, head, arrived).await {
@@ -290,13 +290,13 @@
     Ok((call, charge))
 }
 
-fn answer_rule(rule: &RouteRule) -> AnswerRule {
+fn answer_rule(rule: &RouteRule) -> ResponseRule {
     match rule.shape {
-        AnswerShape::Whole => AnswerRule::Whole,
-        AnswerShape::Stream {
+        ResponseShape::Whole => ResponseRule::Whole,
+        ResponseShape::Stream {
             resumable: true, ..
-        } => AnswerRule::Resumable,
-        AnswerShape::Stream { .. } => AnswerRule::LostWithServer,
+        } => ResponseRule::Resumable,
+        ResponseShape::Stream { .. } => ResponseRule::LostWithServer,
     }
 }
 
@@ -307,14 +307,14 @@
     team: Option<&TeamRule>,
     call: &CallHead,
     time_left: Duration,
-) -> CallNeeds {
+) -> CallRequirements {
     let service = rule.service_for(&call.request_id).clone();
     let engine = table.service(&service).and_then(|service| service.engine);
     let priority = team.and_then(|team| team.priority);
     let urgency = priority.unwrap_or(rule.priority);
     let urgency = urgency.saturating_mul(URGENCY_STEP);
     let homes = team.map_or_else(|| rule.homes.clone(), |team| rule.homes.and(&team.homes));
-    CallNeeds {
+    CallRequirements {
         service,
         engine,
         prompt: call.prompt.clone(),
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use onyxfall_adapter::{DecodeError, StoreKey, StoreNews, read_item, read_key};
+use onyxfall_adapter::{DecodeError, StoreEntry, StoreKey, read_item, read_key};
 use onyxfall_fleet::{MirrorChange, RouteTable, ServerRecord, TeamTable};
 use onyxfall_policy::Moment;
 use onyxfall_rollout::RolloutOrder;
@@ -13,7 +13,7 @@
 
 impl Gateway {
     /// Notes that another life of a server has its address.
-    pub(crate) fn note_replaced(&self, server: &str) {
+    pub(crate) fn record_replaced(&self, server: &str) {
         log::info!(server; "another server has the address");
         self.fleet.borrow_mut().remove_server(self.now(), server);
     }
@@ -23,8 +23,8 @@
         for change in changes {
             match change {
                 MirrorChange::Set(key, value) => match read_item(&key, &value) {
-                    Ok(news) => self.take_news(&key, news),
-                    Err(e) => self.refuse_item(&key, &e),
+                    Ok(news) => self.apply_entry(&key, news),
+                    Err(e) => self.reject_item(&key, &e),
                 },
                 MirrorChange::Removed(key) => self.take_removal(&key),
             }
@@ -33,7 +33,7 @@
 
     /// An item that is not understood. A server's entry then names no server, also where
     /// a good one stood before: who wrote it is not known.
-    fn refuse_item(&self, key: &str, error: &DecodeError) {
+    fn reject_item(&self, key: &str, error: &DecodeError) {
         self.metrics.count("onyxfall_items_not_understood_total");
         log::error!(key, error:% = error; "item not understood");
         match read_key(key) {
@@ -107,29 +107,29 @@
         );
     }
 
-    fn take_news(&self, key: &str, news: StoreNews) {
+    fn apply_entry(&self, key: &str, news: StoreEntry) {
         let now = self.now();
         let table = self.table();
         match news {
-            StoreNews::Order(order) => self.take_order(key, order),
-            StoreNews::Rollout(service, record) => {
+            StoreEntry::Order(order) => self.take_order(key, order),
+            StoreEntry::Rollout(service, record) => {
                 let revision = self.item_revision(key);
                 let mut rollouts = self.rollouts.borrow_mut();
                 rollouts.take_record(now, &service, revision, record);
                 self.rollout_known.notify_one();
             }
-            StoreNews::Shift(service, region, order) => {
+            StoreEntry::Shift(service, region, order) => {
                 let revision = self.item_revision(key);
                 let mut rollouts = self.rollouts.borrow_mut();
                 rollouts.take_shift(now, &service, region, order, revision);
             }
-            StoreNews::Config(next) => self.take_table(*next),
-            StoreNews::Server(record) => self.take_server(now, record, table.as_deref()),
-            StoreNews::Evacuation(center) => {
+            StoreEntry::Config(next) => self.take_table(*next),
+            StoreEntry::Server(record) => self.take_server(now, record, table.as_deref()),
+            StoreEntry::Evacuation(center) => {
                 log::info!(center = center.as_str(); "data centre is evacuated");
                 self.fleet.borrow_mut().evacuate(center);
             }
-            StoreNews::Other => {}
+            StoreEntry::Other => {}
         }
     }
 
@@ -166,14 +166,14 @@
                 log::info!(center = center.as_str(); "data centre is taken back");
                 let (now, table) = (self.now(), self.table());
                 let mut fleet = self.fleet.borrow_mut();
-                fleet.take_back(now, &center, table.as_deref());
+                fleet.end_evacuation(now, &center, table.as_deref());
             }
             // A configuration is never withdrawn; the last one stays in force.
             StoreKey::Config | StoreKey::Other => {}
             // Nobody deletes these: the store was restored from an older copy.
-            StoreKey::Rollout(service) => self.rollouts.borrow_mut().lose_record(&service),
+            StoreKey::Rollout(service) => self.rollouts.borrow_mut().remove_record(&service),
             StoreKey::Shift(service, region) => {
-                self.rollouts.borrow_mut().lose_shift(&service, &region);
+                self.rollouts.borrow_mut().remove_shift(&service, &region);
             }
             StoreKey::Order(service) => {
                 log::info!(service = service.as_str(); "order of another version is taken back");
--- a/crates/gateway/src/open.rs
+++ b/crates/gateway/src/open.rs
@@ -70,10 +70,10 @@
     }
 
     /// Notes that more of the answer has come.
-    pub(crate) fn note_sign(&self) {
+    pub(crate) fn record_liveness(&self) {
         let now = self.gateway.now();
         let mut fleet = self.gateway.fleet.borrow_mut();
-        fleet.server_mut(self.server).note_sign(now);
+        fleet.server_mut(self.server).record_liveness(now);
     }
 
     /// Notes the first byte of the answer.
@@ -129,7 +129,7 @@
         let ratio = self.ratio.get();
         let ratio = ratio.map(|ratio| ratio.max(pace.unwrap_or_default()));
         self.gateway
-            .note_outcome(&self.call, self.server, result, ratio);
+            .record_outcome(&self.call, self.server, result, ratio);
     }
 }
 
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -14,11 +14,11 @@
 use hyper::body::Incoming;
 use onyxfall_adapter::{forward_headers, read_call};
 use onyxfall_clock::BootInstant;
-use onyxfall_fleet::{CallNeeds, HomeRegions, RouteTable, TimePrediction};
+use onyxfall_fleet::{CallRequirements, HomeRegions, RouteTable, TimePrediction};
 use onyxfall_types::{RefusalReason, RegionName, RequestError, RunVerdict, TeamName, VmName};
 
 use crate::body::ReplyBody;
-use crate::call::{AnswerRule, CallContext, CallOrigin, CallRules};
+use crate::call::{CallContext, CallOrigin, CallRules, ResponseRule};
 use crate::gateway::Gateway;
 use crate::listen::read_body;
 use crate::serve::{CallFailure, serve};
@@ -98,9 +98,9 @@
         set(headers, TEAM, team.as_str());
     }
     match call.rules.answer {
-        AnswerRule::Whole => {}
-        AnswerRule::LostWithServer => set(headers, STREAM, ONCE),
-        AnswerRule::Resumable | AnswerRule::ResumedBySender => set(headers, STREAM, RESUMABLE),
+        ResponseRule::Whole => {}
+        ResponseRule::LostWithServer => set(headers, STREAM, ONCE),
+        ResponseRule::Resumable | ResponseRule::ResumedBySender => set(headers, STREAM, RESUMABLE),
     }
 }
 
@@ -153,7 +153,7 @@
         None => homes,
     };
     let urgency = number(URGENCY).and_then(|urgency| u8::try_from(urgency).ok());
-    let needs = CallNeeds {
+    let needs = CallRequirements {
         service,
         engine,
         goal: Duration::from_millis(number(GOAL).ok_or_else(bad)?),
@@ -179,9 +179,9 @@
             // The VM that passed it on decides about repeats.
             repeatable: false,
             answer: match text(STREAM) {
-                None => AnswerRule::Whole,
-                Some(ONCE) => AnswerRule::LostWithServer,
-                Some(_) => AnswerRule::ResumedBySender,
+                None => ResponseRule::Whole,
+                Some(ONCE) => ResponseRule::LostWithServer,
+                Some(_) => ResponseRule::ResumedBySender,
             },
             max_attempts: 1,
         },
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -50,9 +50,9 @@
 fn reload(gateway: &Gateway, path: &Path) {
     match load_settings(path) {
         Ok(settings) => {
-            onyxfall_clock::move_on(settings.ahead);
+            onyxfall_clock::advance_clock(settings.ahead);
             gateway.set_settings(settings);
-            gateway.look_for_suspension(BootInstant::now());
+            gateway.check_suspension(BootInstant::now());
             log::info!("settings reloaded");
         }
         Err(e) => log::error!(error:% = e; "settings not reloaded; the old ones stay"),
--- a/crates/gateway/src/report.rs
+++ b/crates/gateway/src/report.rs
@@ -10,9 +10,14 @@
 
 impl Gateway {
     /// Logs and counts the end of a request that a server answered.
-    pub(crate) fn tell_end(&self, call: &CallContext, progress: &CallProgress, outcome: &str) {
+    pub(crate) fn log_request_end(
+        &self,
+        call: &CallContext,
+        progress: &CallProgress,
+        outcome: &str,
+    ) {
         let age = call.age();
-        self.note_own_change();
+        self.record_own_change();
         self.metrics.note_end(&call.route, outcome, age);
         log::info!(
             request = call.request_id.as_str(),
@@ -37,7 +42,7 @@
     }
 
     /// Logs and counts a request that got no server's answer.
-    pub(crate) fn tell_refusal(
+    pub(crate) fn log_refusal(
         &self,
         call: &CallContext,
         progress: &CallProgress,
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -5,12 +5,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use onyxfall_adapter::{WriteEnd, read_write, rollout_request};
-use onyxfall_fleet::{AttemptResult, LocalOption, UnreadTokens, WorkShare};
+use onyxfall_adapter::{WriteOutcome, read_write, rollout_request};
+use onyxfall_fleet::{AttemptResult, LocalOption, PrefillTokens, WorkShare};
 use onyxfall_overlay::{ServerTag, WorkEntry};
 use onyxfall_policy::Moment;
 use onyxfall_rollout::{
-    AnswerOutcome, EvidenceCounts, EvidenceTag, RolloutPhase, RolloutTable, RolloutWrite,
+    EvidenceCounts, EvidenceTag, ResponseOutcome, RolloutPhase, RolloutTable, RolloutWrite,
     SLOW_RATIOS, StoreWriter, VersionSide,
 };
 use onyxfall_types::{RegionName, RouteName, ServerId, ServiceName, stable_hash};
@@ -48,12 +48,12 @@
             rollouts.other_side(now, service, &mut *self.rng.borrow_mut())?
         };
         // A VM that hears nobody would not learn that the version is given up.
-        if side == VersionSide::New && !self.knows_others() && self.expects_others() {
+        if side == VersionSide::New && !self.has_live_peers() && self.expects_others() {
             return None;
         }
         let step = self.choose_version(now, side, call)?;
         if side == VersionSide::New {
-            self.rollouts.borrow_mut().take_sample(service);
+            self.rollouts.borrow_mut().claim_canary(service);
         }
         Some(step)
     }
@@ -103,7 +103,7 @@
 
     /// Counts how an attempt at a server ended. `ratio` is how many times slower than
     /// usual its answer was.
-    pub(crate) fn note_outcome(
+    pub(crate) fn record_outcome(
         &self,
         call: &CallContext,
         server: ServerId,
@@ -111,8 +111,8 @@
         ratio: Option<f64>,
     ) {
         let outcome = match result {
-            AttemptResult::Failed => AnswerOutcome::Failed,
-            AttemptResult::Succeeded => AnswerOutcome::Succeeded { ratio },
+            AttemptResult::Failed => ResponseOutcome::Failed,
+            AttemptResult::Succeeded => ResponseOutcome::Succeeded { ratio },
             AttemptResult::Unreachable
             | AttemptResult::Broken
             | AttemptResult::Shed
@@ -128,7 +128,7 @@
         let state = fleet.server(server);
         let mut rollouts = self.rollouts.borrow_mut();
         let service = &state.record.service;
-        rollouts.note(service, &call.route, side, state.life_hash(), outcome);
+        rollouts.note(service, &call.route, side, state.instance_hash(), outcome);
     }
 
     /// Counts of this VM, as work that is told to the others.
@@ -145,7 +145,7 @@
     pub(crate) fn take_evidence(&self, tag: ServerTag, share: &WorkShare) -> bool {
         let mut rollouts = self.rollouts.borrow_mut();
         // Asked for each figure that is no server's, with or without a roll-out.
-        !rollouts.is_empty() && rollouts.set_told(EvidenceTag(tag.0), evidence_counts(share))
+        !rollouts.is_empty() && rollouts.set_regional(EvidenceTag(tag.0), evidence_counts(share))
     }
 
     /// Counts of this region, for other regions.
@@ -229,7 +229,7 @@
     /// Logs each change of where requests go.
     fn tell_phases(&self, now: Moment) {
         let rollouts = self.rollouts.borrow();
-        let mut told = self.told_phases.borrow_mut();
+        let mut told = self.logged_phases.borrow_mut();
         for status in rollouts.statuses(now) {
             let phase = status.phase.as_str();
             if told.insert(status.service.clone(), phase) == Some(phase) {
@@ -341,14 +341,17 @@
     });
 }
 
-async fn send_write(client: &mut StoreClient, write: &RolloutWrite) -> Result<WriteEnd, CallError> {
+async fn send_write(
+    client: &mut StoreClient,
+    write: &RolloutWrite,
+) -> Result<WriteOutcome, CallError> {
     let request = rollout_request(&client.host(), write)?;
     let reply = client.call(request, Duration::ZERO, "rollout").await?;
     Ok(read_write(reply.status)?)
 }
 
-fn tell_write(write: &RolloutWrite, end: WriteEnd) {
-    let made = end == WriteEnd::Done;
+fn tell_write(write: &RolloutWrite, end: WriteOutcome) {
+    let made = end == WriteOutcome::Done;
     match write {
         RolloutWrite::Record {
             service, record, ..
@@ -376,7 +379,7 @@
     let [answers, figures @ ..] = figures_of(counts);
     WorkShare {
         memory: answers,
-        unread: UnreadTokens::from_slice(&figures),
+        unread: PrefillTokens::from_slice(&figures),
         ..WorkShare::default()
     }
 }
