--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -10,11 +10,11 @@
 use bytes::Bytes;
 use http::{HeaderMap, Response, StatusCode};
 use http_body_util::{BodyExt, Limited};
-use onyxfall_adapter::{answer_headers, set_last_event};
+use onyxfall_adapter::{response_headers, set_last_event};
 use onyxfall_fleet::{AttemptResult, TimePrediction};
 use onyxfall_types::{RefusalReason, RequestError, RunVerdict, ServerId, VmName};
 
-use crate::attempt::{AttemptEnd, UpstreamAnswer, try_peer, try_server};
+use crate::attempt::{AttemptEnd, UpstreamResponse, try_peer, try_server};
 use crate::body::ReplyBody;
 use crate::call::SharedCall;
 use crate::decide::RouteStep;
@@ -115,7 +115,7 @@
         }
         match read_whole(gateway, call, *answer).await {
             Some(whole) if !whole.status.is_server_error() => {
-                gateway.tell_end(call, &progress, "served");
+                gateway.log_request_end(call, &progress, "served");
                 return Ok(whole_reply(whole));
             }
             Some(whole) => {
@@ -134,7 +134,7 @@
 /// A stream that another server goes on with.
 pub(crate) struct ResumedStream {
     /// The answer of that server.
-    pub(crate) answer: Box<UpstreamAnswer>,
+    pub(crate) answer: Box<UpstreamResponse>,
     /// What the request has been through, this answer included.
     pub(crate) progress: CallProgress,
 }
@@ -187,17 +187,17 @@
     extra: &HeaderMap,
 ) -> Result<AttemptEnd, RequestError> {
     loop {
-        gateway.hear_before_choice().await;
+        gateway.query_before_choice().await;
         let step = gateway.decide(call, progress);
         // A request that is held looks again every few milliseconds, and has changed nothing.
         if !matches!(step, RouteStep::Later(_)) {
-            gateway.note_own_change();
+            gateway.record_own_change();
         }
         match step {
             RouteStep::Later(pause) => tokio::time::sleep(pause).await,
             RouteStep::Refuse(error) => return Err(error),
             RouteStep::Server(target) => {
-                gateway.note_rate(call, progress);
+                gateway.record_request(call, progress);
                 progress.servers.push(target.id);
                 progress.sent = call.age();
                 progress.predicted = target.predicted;
@@ -206,7 +206,7 @@
                 return Ok(try_server(gateway, call, &target, extra).await);
             }
             RouteStep::Peer(target) => {
-                gateway.note_rate(call, progress);
+                gateway.record_request(call, progress);
                 progress.vms.push(target.vm.clone());
                 progress.sent = call.age();
                 progress.predicted = target.predicted;
@@ -216,7 +216,7 @@
                 let is_predicted = target.reason == PeerReason::Away;
                 if matches!(end, AttemptEnd::Answer(_)) && is_predicted {
                     let took = call.age().saturating_sub(progress.sent);
-                    let mut away = gateway.away.borrow_mut();
+                    let mut away = gateway.remote_table.borrow_mut();
                     away.note_first(&target.region, target.predicted.first, took);
                 }
                 return Ok(end);
@@ -308,11 +308,11 @@
     mut error: RequestError,
 ) -> Result<Response<ReplyBody>, CallFailure> {
     if let Some(whole) = fallback {
-        gateway.tell_end(call, progress, "the server's failure");
+        gateway.log_request_end(call, progress, "the server's failure");
         return Ok(whole_reply(whole));
     }
     error.verdict = error.verdict.max(verdict_of(progress));
-    gateway.tell_refusal(call, progress, &error);
+    gateway.log_refusal(call, progress, &error);
     Err(CallFailure {
         error,
         arrivals: progress.arrivals,
@@ -322,7 +322,7 @@
 async fn read_whole(
     gateway: &Gateway,
     call: &SharedCall,
-    mut answer: UpstreamAnswer,
+    mut answer: UpstreamResponse,
 ) -> Option<WholeAnswer> {
     let reading = Limited::new(&mut answer.body, WHOLE_LIMIT).collect();
     let read = within_deadline(gateway, call, reading).await;
@@ -337,7 +337,7 @@
     };
     let whole = WholeAnswer {
         status: answer.status,
-        headers: answer_headers(&answer.headers),
+        headers: response_headers(&answer.headers),
         body: collected.to_bytes(),
     };
     let result = if whole.status.is_server_error() {
@@ -360,9 +360,9 @@
     gateway: &Rc<Gateway>,
     call: &SharedCall,
     progress: CallProgress,
-    answer: Box<UpstreamAnswer>,
+    answer: Box<UpstreamResponse>,
 ) -> Response<ReplyBody> {
-    let (status, headers) = (answer.status, answer_headers(&answer.headers));
+    let (status, headers) = (answer.status, response_headers(&answer.headers));
     let relay = StreamRelay::new(gateway, call, progress, answer);
     let mut response = Response::new(ReplyBody::Stream(Box::new(relay)));
     *response.status_mut() = status;
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use onyxfall_fleet::{
-    BudgetLimits, ChoicePolicy, DecisionSwitch, DecisionSwitches, QuotaSettings, REREAD_PRICE,
-    VmPlace,
+    BudgetLimits, ChoicePolicy, DecisionSwitch, DecisionSwitches, QuotaSettings, REPREFILL_PENALTY,
+    VmLocation,
 };
 use onyxfall_overlay::VmCapacity;
 use onyxfall_settings::{FaultList, IniDocument, SettingsError};
@@ -46,14 +46,14 @@
     pub(crate) copied_gb: f64,
     /// Delay that is accepted for 1,000 tokens of a shared part that need not be read
     /// again.
-    pub(crate) reread_price: Duration,
+    pub(crate) reprefill_penalty: Duration,
 }
 
 impl Default for CostSettings {
     fn default() -> Self {
         Self {
             copied_gb: DEFAULT_COPIED_GB,
-            reread_price: REREAD_PRICE,
+            reprefill_penalty: REPREFILL_PENALTY,
         }
     }
 }
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct GatewaySettings {
     /// Where this VM stands.
-    pub(crate) place: VmPlace,
+    pub(crate) place: VmLocation,
     /// Processor of this VM; larger ones have duties first.
     pub(crate) capacity: VmCapacity,
     /// Address that this VM's own connections come from; none if the system picks one.
@@ -202,12 +202,12 @@
     let usual = CostSettings::default();
     let range = 0.0..=f64::MAX;
     let copied_gb = costs.ranged("copied-gb", usual.copied_gb, range, faults);
-    let reread_ms = usual.reread_price.as_secs_f64() * 1e3;
+    let reread_ms = usual.reprefill_penalty.as_secs_f64() * 1e3;
     let reread_ms = costs.ranged("reread-ms", reread_ms, 0.0..=MOST_REREAD_MS, faults);
     costs.finish(faults);
     CostSettings {
         copied_gb,
-        reread_price: Duration::from_secs_f64(reread_ms / 1e3),
+        reprefill_penalty: Duration::from_secs_f64(reread_ms / 1e3),
     }
 }
 
@@ -224,7 +224,7 @@
 
 /// What the settings say of this VM.
 struct VmSettings {
-    place: VmPlace,
+    place: VmLocation,
     capacity: VmCapacity,
     source: Option<IpAddr>,
 }
@@ -250,7 +250,7 @@
     let source = vm_section.optional("source-address", faults);
     vm_section.finish(faults);
     Some(VmSettings {
-        place: VmPlace {
+        place: VmLocation {
             vm: vm?,
             center: center?,
             region: region?,
--- a/crates/gateway/src/share.rs
+++ b/crates/gateway/src/share.rs
@@ -165,13 +165,13 @@
     /// Whether another VM has told of a later revision of the store.
     pub(crate) fn knows_later_revision(&self) -> bool {
         let own = self.mirror.borrow().revision();
-        self.share.borrow().check.knows_later(own)
+        self.share.borrow().check.is_outdated(own)
     }
 
     /// Notes that this VM's copy holds everything.
     pub(crate) fn note_caught_up(&self) {
         let mut share = self.share.borrow_mut();
-        share.check.note_read(self.now());
+        share.check.record_full_read(self.now());
         share.is_whole = true;
     }
 
@@ -190,9 +190,9 @@
 
     fn push_delta(&self, audience: DeltaAudience, delta: StoreDelta) {
         self.share.borrow_mut().push(audience, delta);
-        self.deltas_now.notify_waiters();
+        self.send_deltas_now.notify_waiters();
         if audience == DeltaAudience::Everyone {
-            self.tell_now.notify_waiters();
+            self.send_updates_now.notify_waiters();
         }
     }
 
@@ -221,7 +221,7 @@
         self.share
             .borrow_mut()
             .check
-            .note_change(before, base, is_whole);
+            .record_change(before, base, is_whole);
         if revision <= before && changes.is_empty() {
             return;
         }
@@ -261,9 +261,9 @@
             })
         };
         let share = &mut *self.share.borrow_mut();
-        share.check.note_other(now, own, copy.state);
+        share.check.record_peer_state(now, own, copy.state);
         if is_watcher {
-            share.check.note_watcher(now, own, copy.state);
+            share.check.compare_with_watcher(now, own, copy.state);
         }
         share.last_heard = Some((from.clone(), copy));
     }
--- a/crates/gateway/src/silence.rs
+++ b/crates/gateway/src/silence.rs
@@ -13,7 +13,7 @@
 use crate::gateway::Gateway;
 
 /// Ends when a server is taken for silent.
-pub(crate) async fn wait_for_silence(gateway: Rc<Gateway>, server: ServerId) {
+pub(crate) async fn wait_until_unresponsive(gateway: Rc<Gateway>, server: ServerId) {
     loop {
         let noticed = gateway.silence.notified();
         if gateway.is_silent(server) {
@@ -43,9 +43,9 @@
 
     /// Looks for servers that are silent by time alone: an answer of this VM has become
     /// overdue after the other votes had come.
-    pub(crate) fn refresh_silence(&self, now: Moment) {
+    pub(crate) fn refresh_unresponsive(&self, now: Moment) {
         let live: BTreeSet<ServerId> = self.fleet.borrow().live().map(|(id, _)| id).collect();
-        self.silent_servers
+        self.unresponsive_servers
             .borrow_mut()
             .retain(|id| live.contains(id));
         for server in live {
@@ -58,7 +58,7 @@
     pub(crate) fn note_silence(&self, now: Moment, server: ServerId) {
         let fleet = self.fleet.borrow();
         let is_silent = fleet.is_silent(now, server);
-        let mut noted = self.silent_servers.borrow_mut();
+        let mut noted = self.unresponsive_servers.borrow_mut();
         let is_news = if is_silent {
             noted.insert(server)
         } else {
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -271,7 +271,7 @@
             return self.gateway.must_catch_up();
         }
         let age = self.gateway.started.elapsed();
-        let is_alone = !self.gateway.knows_others();
+        let is_alone = !self.gateway.has_live_peers();
         let patience = if self.gateway.is_member() {
             READ_BESIDE_AFTER + self.spread * 2
         } else {
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -14,14 +14,14 @@
 use hyper::body::{Body, Frame};
 use onyxfall_fleet::AttemptResult;
 
-use crate::attempt::UpstreamAnswer;
+use crate::attempt::UpstreamResponse;
 use crate::backup::continue_run;
 use crate::body::RelayError;
-use crate::call::{AnswerRule, SharedCall};
+use crate::call::{ResponseRule, SharedCall};
 use crate::gateway::Gateway;
 use crate::serve::{CallProgress, ResumedStream, resume};
-use crate::silence::wait_for_silence;
 use crate::suspension::wait_for_deadline;
+use crate::unresponsive::wait_until_unresponsive;
 
 /// End of an event in a stream.
 const EVENT_END: &[u8] = b"\n\n";
@@ -87,7 +87,7 @@
 /// What is going on with a stream.
 enum RelayState {
     /// A server sends it.
-    Open(Box<UpstreamAnswer>),
+    Open(Box<UpstreamResponse>),
     /// Another server is being asked to go on.
     Resuming(LocalBoxFuture<'static, Option<ResumedStream>>),
     /// It is over.
@@ -115,10 +115,10 @@
         gateway: &Rc<Gateway>,
         call: &SharedCall,
         progress: CallProgress,
-        answer: Box<UpstreamAnswer>,
+        answer: Box<UpstreamResponse>,
     ) -> Self {
         gateway.open_streams.set(gateway.open_streams.get() + 1);
-        let resumable = call.rules.answer == AnswerRule::Resumable && answer.status.is_success();
+        let resumable = call.rules.answer == ResponseRule::Resumable && answer.status.is_success();
         let is_copied = answer.copy.is_some();
         let can_go_on = resumable || is_copied;
         Self {
@@ -152,7 +152,7 @@
                         self.progress = progress;
                         // A run that goes on from its copy has no other one.
                         self.silence = match self.call.rules.answer {
-                            AnswerRule::Resumable => silence_of(&self.gateway, &answer),
+                            ResponseRule::Resumable => silence_of(&self.gateway, &answer),
                             _ => None,
                         };
                         self.state = RelayState::Open(answer);
@@ -192,7 +192,7 @@
     /// Whether the server is taken for silent; asked while nothing comes.
     fn is_silent(&mut self, cx: &mut Context<'_>) -> bool {
         let has_last = self.buffer.as_ref().is_some_and(|b| b.last_id.is_some());
-        if self.call.rules.answer == AnswerRule::LostWithServer && !has_last {
+        if self.call.rules.answer == ResponseRule::LostWithServer && !has_last {
             return false;
         }
         let Some(silence) = &mut self.silence else {
@@ -212,7 +212,7 @@
         if let RelayState::Open(answer) = &mut self.state {
             answer.events += events;
             if let Some(booking) = &answer.booking {
-                booking.note_sign();
+                booking.record_liveness();
             }
         }
         match &mut self.buffer {
@@ -225,7 +225,7 @@
     fn complete(&mut self) -> Option<Result<Frame<Bytes>, RelayError>> {
         let call = &self.call;
         self.gateway
-            .note_length(&call.route, &call.needs.prompt, self.events);
+            .record_response_length(&call.route, &call.needs.prompt, self.events);
         self.end(AttemptResult::Succeeded, "served");
         let rest = self.buffer.take().map(|buffer| buffer.rest.freeze())?;
         (!rest.is_empty()).then(|| Ok(Frame::data(rest)))
@@ -246,7 +246,7 @@
         answer.finish(&self.gateway, AttemptResult::Broken);
         let gateway = Rc::clone(&self.gateway);
         let call = Rc::clone(&self.call);
-        if self.call.rules.answer == AnswerRule::LostWithServer {
+        if self.call.rules.answer == ResponseRule::LostWithServer {
             let (Some(copy), Some(last)) = (copy, last) else {
                 return false;
             };
@@ -275,7 +275,8 @@
         if !self.progress.is_told {
             self.progress.is_told = true;
             self.progress.events = self.events;
-            self.gateway.tell_end(&self.call, &self.progress, outcome);
+            self.gateway
+                .log_request_end(&self.call, &self.progress, outcome);
         }
     }
 }
@@ -284,10 +285,13 @@
 /// is passed on.
 fn silence_of(
     gateway: &Rc<Gateway>,
-    answer: &UpstreamAnswer,
+    answer: &UpstreamResponse,
 ) -> Option<LocalBoxFuture<'static, ()>> {
     let server = answer.booking.as_ref()?.server();
-    Some(Box::pin(wait_for_silence(Rc::clone(gateway), server)))
+    Some(Box::pin(wait_until_unresponsive(
+        Rc::clone(gateway),
+        server,
+    )))
 }
 
 impl Drop for StreamRelay {
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -14,7 +14,7 @@
 use onyxfall_overlay::{KnownVm, VmRecord};
 use onyxfall_policy::Moment;
 use onyxfall_suspects::{
-    LifeTag, RequestFingerprint, SuspectTable, SuspectVerdict, SuspectsTold, holder_of,
+    InstanceTag, RequestFingerprint, SuspectCursor, SuspectTable, SuspectVerdict, holder_of,
 };
 use onyxfall_types::{RefusalReason, RegionName, RequestError, ServerId};
 use onyxfall_wire::VmUpdate;
@@ -87,7 +87,7 @@
         let fingerprint = call.fingerprint();
         let verdict = {
             let mut board = self.suspects.borrow_mut();
-            board.table.note_crash(now, fingerprint, life);
+            board.table.record_crash(now, fingerprint, life);
             board.table.judge(now, fingerprint)
         };
         self.metrics.count("onyxfall_lost_runs_total");
@@ -99,14 +99,14 @@
                 "request judged by the servers that it was lost with"
             );
         }
-        self.tell_now.notify_waiters();
+        self.send_updates_now.notify_waiters();
     }
 
     /// Notes that a request ran to a good end.
     pub(crate) fn note_good_run(&self, call: &CallContext) {
         let mut board = self.suspects.borrow_mut();
         if !board.table.is_empty() {
-            board.table.note_served(call.fingerprint());
+            board.table.record_success(call.fingerprint());
         }
     }
 
@@ -116,21 +116,21 @@
         if board.table.is_empty() {
             return;
         }
-        let lost: Vec<LifeTag> = board.table.lost_lives().collect();
+        let lost: Vec<InstanceTag> = board.table.lost_instances().collect();
         let fleet = self.fleet.borrow();
         for life in lost {
-            let server = fleet.find_life(life.number());
-            let sign = server.and_then(|id| fleet.server(id).last_sign());
+            let server = fleet.find_instance(life.number());
+            let sign = server.and_then(|id| fleet.server(id).last_liveness());
             if let Some(sign) = sign {
-                board.table.note_alive(life, sign);
+                board.table.record_liveness(life, sign);
             }
         }
         board.table.expire(now);
     }
 
-    fn life_of(&self, server: ServerId) -> LifeTag {
+    fn life_of(&self, server: ServerId) -> InstanceTag {
         let fleet = self.fleet.borrow();
-        LifeTag::from_number(fleet.server(server).life_hash())
+        InstanceTag::from_number(fleet.server(server).instance_hash())
     }
 
     /// What may be done with a request.
@@ -194,7 +194,7 @@
         let option = fleet.choose_alone(now, &call.needs, &progress.servers);
         match option {
             LocalOption::Free(choice) => RouteStep::Server(server_target(&fleet, &choice)),
-            LocalOption::Held(end) => self.wait_for_rest(call, end - now),
+            LocalOption::BackedOff(end) => self.wait_for_rest(call, end - now),
             _ => self.wait_or_refuse(call, "no server is usable", call.needs.goal / 2),
         }
     }
@@ -217,7 +217,7 @@
     }
 
     /// What is news of suspects on a link.
-    pub(crate) fn tell_suspects(&self, told: &mut SuspectsTold, update: &mut VmUpdate) {
+    pub(crate) fn collect_suspects(&self, told: &mut SuspectCursor, update: &mut VmUpdate) {
         let news = self.suspects.borrow().table.tell(self.now(), told);
         if !news.is_empty() {
             wire_suspects(&news, update);
@@ -225,7 +225,7 @@
     }
 
     /// Takes what another VM tells of suspects.
-    pub(crate) fn take_suspects(&self, now: Moment, update: &VmUpdate) {
+    pub(crate) fn apply_suspects(&self, now: Moment, update: &VmUpdate) {
         if update.suspects.is_empty() && update.lost_lives.is_empty() {
             return;
         }
@@ -234,7 +234,7 @@
             .count_more("onyxfall_absurd_suspects_total", malformed);
         let is_urgent = self.suspects.borrow_mut().table.take(now, &news);
         if is_urgent {
-            self.tell_now.notify_waiters();
+            self.send_updates_now.notify_waiters();
         }
     }
 }
--- a/crates/gateway/src/suspension.rs
+++ b/crates/gateway/src/suspension.rs
@@ -17,7 +17,7 @@
 impl Gateway {
     /// Looks whether this VM was suspended; before each request, and by time. It takes one
     /// reading of the steady clock, 0.05 us, beside that of `now`.
-    pub(crate) fn look_for_suspension(&self, now: BootInstant) {
+    pub(crate) fn check_suspension(&self, now: BootInstant) {
         let mut watch = self.suspension.get();
         let away = watch.look(now);
         self.suspension.set(watch);
--- a/crates/gateway/src/teams.rs
+++ b/crates/gateway/src/teams.rs
@@ -153,7 +153,7 @@
         regions.dedup();
         let mut quotas = self.quotas.borrow_mut();
         quotas.set_peers(QuotaPeers {
-            heard_part: heard as f64 / (near().count() + 1) as f64,
+            reachable_share: heard as f64 / (near().count() + 1) as f64,
             vms: roster.others().filter(|vm| KnownVm::is_alive(vm)).count() + 1,
             regions: regions.len(),
         });
--- a/crates/gateway/src/updates.rs
+++ b/crates/gateway/src/updates.rs
@@ -5,16 +5,16 @@
 use std::time::Duration;
 
 use onyxfall_fleet::{
-    CallNeeds, CopyState, CostTeller, CostView, HomeRegions, PromptSize, ServiceLoad,
+    CallRequirements, CopyState, CostSource, CostView, HomeRegions, PromptSize, ServiceLoad,
     TimePrediction, WorkShare,
 };
 use onyxfall_overlay::{LinkRelation, LinkState, ServerTag, VmStatus, WorkEntry};
 use onyxfall_policy::Moment;
-use onyxfall_suspects::SuspectsTold;
+use onyxfall_suspects::SuspectCursor;
 use onyxfall_types::{RegionName, VmName, name_tag};
 use onyxfall_wire::{RegionLoadEntry, ServiceLoadEntry, TeamDemandEntry, VmUpdate};
 
-use crate::costs::{CostsTold, take_costs};
+use crate::costs::{CostCursor, take_costs};
 use crate::frames::{overlay_update, wire_millis, wire_update};
 use crate::gateway::Gateway;
 use crate::share::PeerCopy;
@@ -25,17 +25,17 @@
 
 /// What was told in one direction of one link.
 #[derive(Default)]
-pub(crate) struct UpdateTold {
+pub(crate) struct UpdateSendState {
     link: LinkState,
-    costs: CostsTold,
-    suspects: SuspectsTold,
+    costs: CostCursor,
+    suspects: SuspectCursor,
     /// When the last word told of each region was said.
     regions: BTreeMap<RegionName, Moment>,
 }
 
 /// An update that was taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct UpdateTaken {
+pub(crate) struct UpdateReceiveState {
     /// What its sender is to this VM; none if that is of a later version.
     pub(crate) relation: Option<LinkRelation>,
     /// What to answer with, if anything.
@@ -44,7 +44,7 @@
     pub(crate) asks: bool,
 }
 
-impl UpdateTold {
+impl UpdateSendState {
     /// The overlay's part of it.
     pub(crate) fn link(&self) -> &LinkState {
         &self.link
@@ -57,7 +57,7 @@
         &self,
         relation: LinkRelation,
         peer: Option<&VmName>,
-        told: &mut UpdateTold,
+        told: &mut UpdateSendState,
     ) -> VmUpdate {
         let now = self.now();
         self.refresh_status();
@@ -73,17 +73,21 @@
         update.copy_is_whole = self.copy_is_whole();
         update.costs = cost_view(relation).map_or_else(Vec::new, |view| told.costs.due(self, view));
         update.regions = self.region_words(now, relation, &mut told.regions);
-        self.tell_suspects(&mut told.suspects, &mut update);
+        self.collect_suspects(&mut told.suspects, &mut update);
         update
     }
 
     /// Takes what a VM tells; none if its link has to start anew.
-    pub(crate) fn take_update(&self, from: &VmName, update: &VmUpdate) -> Option<UpdateTaken> {
+    pub(crate) fn take_update(
+        &self,
+        from: &VmName,
+        update: &VmUpdate,
+    ) -> Option<UpdateReceiveState> {
         let now = self.now();
         let settings = self.settings();
         let Some(message) = overlay_update(update, &settings.place.centers) else {
             self.metrics.count("onyxfall_unknown_updates_total");
-            return Some(UpdateTaken::default());
+            return Some(UpdateReceiveState::default());
         };
         let relation = message.relation;
         let taken = self.overlay.borrow_mut().take(now, from, &message);
@@ -95,12 +99,12 @@
         self.apply_work(now);
         match relation {
             LinkRelation::Digest => self.note_digest(),
-            LinkRelation::Report | LinkRelation::Partial => self.asks.changed.notify_waiters(),
+            LinkRelation::Report | LinkRelation::Partial => self.queries.changed.notify_waiters(),
             _ => {}
         }
         take_costs(self, from, cost_teller(relation), &update.costs);
         self.take_regions(now, relation, &update.regions);
-        self.take_suspects(now, update);
+        self.apply_suspects(now, update);
         self.compare_copy(
             from,
             PeerCopy {
@@ -111,7 +115,7 @@
                 is_whole: update.copy_is_whole,
             },
         );
-        Some(UpdateTaken {
+        Some(UpdateReceiveState {
             relation: Some(relation),
             answer: self.overlay.borrow().answer(from, relation),
             asks: update.asks,
@@ -126,13 +130,13 @@
             watches_store: self.store.borrow().is_watched(),
         };
         if self.overlay.borrow_mut().roster_mut().set_status(status) {
-            self.tell_now.notify_waiters();
+            self.send_updates_now.notify_waiters();
         }
     }
 
     /// Sets other VMs' work where it has changed.
     pub(crate) fn apply_work(&self, now: Moment) {
-        let news = self.overlay.borrow_mut().totals_mut().take_news();
+        let news = self.overlay.borrow_mut().totals_mut().take_changes();
         for tag in news {
             let work = self.overlay.borrow().totals().others(tag);
             let server = self.fleet.borrow().find_tag(tag.0);
@@ -143,7 +147,7 @@
                     fleet.server_mut(server).set_others(now, work);
                     drop(fleet);
                     self.note_silence(now, server);
-                    self.tell_limit(now, server, was_limited);
+                    self.log_limit_change(now, server, was_limited);
                 }
                 None if self.take_evidence(tag, &work) => {}
                 None => self.apply_rate(now, tag, work.flow),
@@ -153,12 +157,21 @@
 
     /// Sets other VMs' rate with a short name: a team's demand, or thousandths of a rate.
     fn apply_rate(&self, now: Moment, tag: ServerTag, flow: u64) {
-        if self.quotas.borrow_mut().set_near(now, tag.0, flow as f64) {
+        if self
+            .quotas
+            .borrow_mut()
+            .set_peer_demand(now, tag.0, flow as f64)
+        {
             return;
         }
         let rate = flow as f64 / 1e3;
-        let is_service = self.fleet.borrow_mut().set_told_rate(tag.0, rate);
-        if !is_service && !self.away.borrow_mut().set_told_rate(now, tag.0, rate) {
+        let is_service = self.fleet.borrow_mut().set_peer_rate(tag.0, rate);
+        if !is_service
+            && !self
+                .remote_table
+                .borrow_mut()
+                .set_peer_rate(now, tag.0, rate)
+        {
             log::debug!("work told of an unknown server {}", tag.0);
         }
     }
@@ -178,7 +191,7 @@
                 server: ServerTag(server.tag()),
                 share,
             });
-        let away = self.away.borrow();
+        let away = self.remote_table.borrow();
         let rates = fleet.own_rates(now).chain(away.own_rates(now));
         let rates = rates.map(|(tag, rate)| (tag, thousandths(rate).into()));
         let quotas = self.quotas.borrow();
@@ -211,7 +224,7 @@
                 evidence: self.region_evidence(),
             }],
             LinkRelation::Digest | LinkRelation::StandbyDigest => self
-                .away
+                .remote_table
                 .borrow()
                 .words(now)
                 .filter(|(region, said, _)| told.insert((*region).clone(), *said) != Some(*said))
@@ -222,7 +235,7 @@
                         .iter()
                         .map(|(tag, load)| load_entry(*tag, load))
                         .collect(),
-                    teams: demand_entries(self.quotas.borrow().told_by(region)),
+                    teams: demand_entries(self.quotas.borrow().demand_of(region)),
                     evidence: self.far_evidence(region),
                 })
                 .collect(),
@@ -256,8 +269,8 @@
                 .map(|entry| (entry.team, entry.demand as f64))
                 .collect();
             self.take_far_evidence(&region, &word.evidence);
-            self.quotas.borrow_mut().hear(said, &region, &demands);
-            self.away
+            self.quotas.borrow_mut().receive(said, &region, &demands);
+            self.remote_table
                 .borrow_mut()
                 .hear(said, &region, trip, loads.collect());
         }
@@ -271,7 +284,7 @@
         let fleet = self.fleet.borrow();
         let mut entries = Vec::new();
         for service in table.services() {
-            let usual = CallNeeds {
+            let usual = CallRequirements {
                 service: service.name.clone(),
                 engine: service.engine,
                 prompt: PromptSize::default(),
@@ -286,7 +299,7 @@
                 .map(|id| {
                     (
                         fleet.predict(now, id, &usual),
-                        fleet.predict_pace(now, id, &usual),
+                        fleet.predict_event_interval(now, id, &usual),
                     )
                 })
                 .collect();
@@ -320,10 +333,10 @@
     }
 }
 
-fn cost_teller(relation: LinkRelation) -> CostTeller {
+fn cost_teller(relation: LinkRelation) -> CostSource {
     match relation {
-        LinkRelation::Report => CostTeller::Member,
-        _ => CostTeller::Aggregator,
+        LinkRelation::Report => CostSource::Member,
+        _ => CostSource::Aggregator,
     }
 }
 
--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -4,7 +4,7 @@
 
 use std::thread;
 
-use onyxfall_fakes::{DeathMoment, ServerFailing, ServerStandIn};
+use onyxfall_fakes::{BreakPoint, ServerFault, ServerStub};
 use support::{Site, call, wait_for};
 
 const SERVERS: usize = 3;
@@ -12,7 +12,7 @@
 struct CopyCase {
     name: &'static str,
     /// What every server does with runs that begin there.
-    failing: ServerFailing,
+    failing: ServerFault,
     /// Whether the stream must be whole.
     is_whole: bool,
     /// Event after which another server must have gone on.
@@ -24,31 +24,31 @@
     let cases = [
         CopyCase {
             name: "after an event",
-            failing: ServerFailing::Dies(DeathMoment::AfterEvent),
+            failing: ServerFault::BreaksStreams(BreakPoint::AfterEvent),
             is_whole: true,
             goes_on_after: Some("1"),
         },
         CopyCase {
             name: "in the middle of an event",
-            failing: ServerFailing::Dies(DeathMoment::InEvent),
+            failing: ServerFault::BreaksStreams(BreakPoint::InEvent),
             is_whole: true,
             goes_on_after: Some("1"),
         },
         CopyCase {
             name: "after the last event, before the end",
-            failing: ServerFailing::Dies(DeathMoment::BeforeEnd),
+            failing: ServerFault::BreaksStreams(BreakPoint::BeforeEnd),
             is_whole: true,
             goes_on_after: Some("3"),
         },
         CopyCase {
             name: "before the first event: there is nothing to go on from",
-            failing: ServerFailing::Dies(DeathMoment::BeforeEvents),
+            failing: ServerFault::BreaksStreams(BreakPoint::BeforeEvents),
             is_whole: false,
             goes_on_after: None,
         },
         CopyCase {
             name: "the copy is lost",
-            failing: ServerFailing::DiesWithCopies,
+            failing: ServerFault::BreaksAndLosesBackups,
             is_whole: false,
             goes_on_after: None,
         },
@@ -62,11 +62,11 @@
 
 fn check_case(case: &CopyCase) {
     let site = Site::start(1);
-    let plain = ServerStandIn::start(site.ip(0)).unwrap();
+    let plain = ServerStub::start(site.ip(0)).unwrap();
     site.announce("plain", &plain, 0);
-    let servers: Vec<ServerStandIn> = (0..SERVERS)
+    let servers: Vec<ServerStub> = (0..SERVERS)
         .map(|number| {
-            let server = ServerStandIn::start(site.ip(0)).unwrap();
+            let server = ServerStub::start(site.ip(0)).unwrap();
             site.announce_model(&format!("m{number}"), &server, 0);
             server
         })
@@ -88,7 +88,7 @@
         case.name
     );
     for server in &servers {
-        server.set_failing(case.failing);
+        server.set_fault(case.failing);
     }
     // A first crash comes without warning; the service is then known to be at risk.
     let first = call(gateway.callers(), path, "crash").unwrap();
@@ -96,16 +96,11 @@
     let second = call(gateway.callers(), path, "tested").unwrap();
     assert_eq!(!second.broken, case.is_whole, "{}: whole", case.name);
     if case.is_whole {
-        assert_eq!(
-            second.text(),
-            ServerStandIn::whole_stream(),
-            "{}",
-            case.name
-        );
+        assert_eq!(second.text(), ServerStub::whole_stream(), "{}", case.name);
     }
     let runs: Vec<_> = servers
         .iter()
-        .flat_map(ServerStandIn::runs)
+        .flat_map(ServerStub::runs)
         .filter(|run| run.call.request_id == "tested")
         .collect();
     let begun = runs.iter().filter(|run| run.call.copy_from.is_none());
@@ -116,10 +111,10 @@
 }
 
 /// Requests whose run was copied.
-fn copies(servers: &[ServerStandIn]) -> Vec<String> {
+fn copies(servers: &[ServerStub]) -> Vec<String> {
     servers
         .iter()
-        .flat_map(ServerStandIn::runs)
+        .flat_map(ServerStub::runs)
         .filter(|run| run.call.copy_to.is_some())
         .map(|run| run.call.request_id)
         .collect()
--- a/crates/gateway/tests/crashing.rs
+++ b/crates/gateway/tests/crashing.rs
@@ -27,8 +27,8 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use onyxfall_adapter::standin::is_signed;
-use onyxfall_fakes::{CRASHING_BODY, ServerFailing, ServerStandIn};
+use onyxfall_adapter::stub::is_signed;
+use onyxfall_fakes::{CRASHING_BODY, ServerFault, ServerStub};
 use support::{Gateway, Reply, Site, call, call_from, wait_for};
 
 const PATH: &str = "/stream/resume/x";
@@ -48,13 +48,13 @@
 /// Servers of every data centre; those that crash are replaced by new lives.
 struct CrashingFleet<'a> {
     site: &'a Site,
-    lives: Vec<ServerLife>,
+    lives: Vec<ServerInstance>,
 }
 
-struct ServerLife {
+struct ServerInstance {
     name: String,
     vm: usize,
-    server: ServerStandIn,
+    server: ServerStub,
     is_replaced: bool,
 }
 
@@ -72,9 +72,9 @@
 
     fn add(&mut self, vm: usize) {
         let name = format!("life{}", self.lives.len());
-        let server = ServerStandIn::start(self.site.ip(vm)).unwrap();
+        let server = ServerStub::start(self.site.ip(vm)).unwrap();
         self.site.announce(&name, &server, vm);
-        self.lives.push(ServerLife {
+        self.lives.push(ServerInstance {
             name,
             vm,
             server,
@@ -234,11 +234,11 @@
         servers.iter().all(|server| !server.runs().is_empty())
     });
     for server in &servers {
-        server.set_failing(ServerFailing::BreaksOff);
+        server.set_fault(ServerFault::Disconnects);
     }
     let reply = call(gateway.callers(), PATH, "tested").unwrap();
     assert!(reply.broken, "no server sends it whole");
-    let runs = servers.iter().flat_map(ServerStandIn::runs);
+    let runs = servers.iter().flat_map(ServerStub::runs);
     let runs = runs.filter(|run| run.call.request_id == "tested").count();
     assert!(runs <= MAX_ATTEMPTS, "{runs} servers ran it");
 }
--- a/crates/gateway/tests/crashing_fleet.rs
+++ b/crates/gateway/tests/crashing_fleet.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use onyxfall_fakes::{CRASHING_BODY, ServerStandIn};
+use onyxfall_fakes::{CRASHING_BODY, ServerStub};
 use support::{Gateway, Site, call_from};
 
 const VMS: u8 = 20;
@@ -23,10 +23,10 @@
 #[test]
 fn a_request_is_stopped_on_vms_that_hear_of_it_by_others() {
     let site = Site::start_in(VMS, REGIONS);
-    let servers: Vec<ServerStandIn> = (0..REGIONS * REGION_SERVERS)
+    let servers: Vec<ServerStub> = (0..REGIONS * REGION_SERVERS)
         .map(|number| {
             let vm = number % REGIONS;
-            let server = ServerStandIn::start(site.ip(vm)).unwrap();
+            let server = ServerStub::start(site.ip(vm)).unwrap();
             site.announce(&format!("s{number}"), &server, vm);
             server
         })
@@ -45,7 +45,7 @@
         last = call_from(from, gateway.callers(), PATH, &id, CRASHING_BODY);
         thread::sleep(REPEAT_PAUSE);
     }
-    let runs = servers.iter().flat_map(ServerStandIn::runs);
+    let runs = servers.iter().flat_map(ServerStub::runs);
     let arrivals = runs.filter(|run| run.body == CRASHING_BODY).count();
     assert!(arrivals <= LOST_SERVERS, "{arrivals} arrivals");
     let last = last.expect("the caller gets an answer");
--- a/crates/gateway/tests/entries.rs
+++ b/crates/gateway/tests/entries.rs
@@ -5,8 +5,8 @@
 use std::thread;
 use std::time::Duration;
 
-use onyxfall_adapter::standin::{ForeignEntry, foreign_entries, server_key};
-use onyxfall_fakes::{CRASHING_BODY, ServerStandIn};
+use onyxfall_adapter::stub::{MalformedEntry, malformed_entries, server_key};
+use onyxfall_fakes::{CRASHING_BODY, ServerStub};
 use support::{Site, call, call_from, record, wait_for};
 
 const PATH: &str = "/repeat/x";
@@ -26,9 +26,9 @@
 #[test]
 fn crashes_of_servers_that_keep_their_id_are_counted_each() {
     let site = Site::start(1);
-    let start = || ServerStandIn::start(site.ip(0)).unwrap();
+    let start = || ServerStub::start(site.ip(0)).unwrap();
     let mut lives = vec![vec![start()], vec![start()]];
-    let announce = |lives: &[Vec<ServerStandIn>], index: usize| {
+    let announce = |lives: &[Vec<ServerStub>], index: usize| {
         let life = lives[index].last().unwrap();
         let born = 1_000_000 + lives[index].len() as u64;
         site.put(&record(&format!("s{index}"), life, born));
@@ -51,7 +51,7 @@
             }
         }
     }
-    let runs = lives.iter().flatten().flat_map(ServerStandIn::runs);
+    let runs = lives.iter().flatten().flat_map(ServerStub::runs);
     let arrivals = runs.filter(|run| run.body == CRASHING_BODY).count();
     assert!(arrivals <= LOST_SERVERS, "{arrivals} arrivals");
 }
@@ -69,12 +69,12 @@
 
 fn check_foreign(kind: usize) {
     let site = Site::start(1);
-    let good = ServerStandIn::start(site.ip(0)).unwrap();
-    let foreign = ServerStandIn::start(site.ip(0)).unwrap();
+    let good = ServerStub::start(site.ip(0)).unwrap();
+    let foreign = ServerStub::start(site.ip(0)).unwrap();
     let own_record = record("foreign", &foreign, 5);
-    let left = foreign_entries(&own_record);
+    let left = malformed_entries(&own_record);
     assert_eq!(left.len(), FOREIGN_KINDS);
-    let ForeignEntry { name, text } = left[kind].clone();
+    let MalformedEntry { name, text } = left[kind].clone();
     site.put(&record("good", &good, 5));
     site.put(&own_record);
     site.configure(1);
@@ -92,7 +92,7 @@
     is_used("its server to be used");
     site.store.put(&server_key("foreign"), text);
     // The entry of a third server shows that the foreign one has been read.
-    let third = ServerStandIn::start(site.ip(0)).unwrap();
+    let third = ServerStub::start(site.ip(0)).unwrap();
     site.put(&record("third", &third, 5));
     wait_for("the entry that followed to be read", || {
         call(gateway.callers(), PATH, "third");
--- a/crates/gateway/tests/failings.rs
+++ b/crates/gateway/tests/failings.rs
@@ -5,15 +5,15 @@
 use std::fmt::Write as _;
 use std::thread;
 
-use onyxfall_adapter::standin::is_signed;
-use onyxfall_fakes::{ServerFailing, ServerStandIn};
+use onyxfall_adapter::stub::is_signed;
+use onyxfall_fakes::{ServerFault, ServerStub};
 use support::{ServingSite, Site, call, wait_for};
 
 struct FailingCase {
     name: &'static str,
     path: &'static str,
     /// What every server does.
-    failing: ServerFailing,
+    failing: ServerFault,
     status: u16,
     /// Runs over both servers.
     runs: usize,
@@ -29,7 +29,7 @@
         FailingCase {
             name: "a whole answer",
             path: "/once/",
-            failing: ServerFailing::None,
+            failing: ServerFault::None,
             status: 200,
             runs: 1,
             has_retry_after: false,
@@ -38,7 +38,7 @@
         FailingCase {
             name: "refused by every server",
             path: "/once/",
-            failing: ServerFailing::Sheds,
+            failing: ServerFault::Rejects,
             status: 503,
             runs: 0,
             has_retry_after: true,
@@ -47,7 +47,7 @@
         FailingCase {
             name: "another life has the address",
             path: "/once/",
-            failing: ServerFailing::Replaced,
+            failing: ServerFault::Replaced,
             status: 503,
             runs: 0,
             has_retry_after: true,
@@ -56,7 +56,7 @@
         FailingCase {
             name: "closed after a run that may not be repeated",
             path: "/once/",
-            failing: ServerFailing::Closes,
+            failing: ServerFault::Closes,
             status: 502,
             runs: 1,
             has_retry_after: false,
@@ -65,7 +65,7 @@
         FailingCase {
             name: "closed after a run that may be repeated",
             path: "/repeat/",
-            failing: ServerFailing::Closes,
+            failing: ServerFault::Closes,
             status: 502,
             runs: 2,
             has_retry_after: false,
@@ -74,7 +74,7 @@
         FailingCase {
             name: "another request's answer",
             path: "/once/",
-            failing: ServerFailing::Stray,
+            failing: ServerFault::WrongResponse,
             status: 502,
             runs: 1,
             has_retry_after: false,
@@ -83,7 +83,7 @@
         FailingCase {
             name: "a failure of the server's own, not to be repeated",
             path: "/once/",
-            failing: ServerFailing::Fails,
+            failing: ServerFault::Fails,
             status: 500,
             runs: 1,
             has_retry_after: false,
@@ -92,7 +92,7 @@
         FailingCase {
             name: "a failure of the server's own, repeated once",
             path: "/repeat/",
-            failing: ServerFailing::Fails,
+            failing: ServerFault::Fails,
             status: 500,
             runs: 2,
             has_retry_after: false,
@@ -101,7 +101,7 @@
         FailingCase {
             name: "no answer at all",
             path: "/once/",
-            failing: ServerFailing::Mute,
+            failing: ServerFault::Unresponsive,
             status: 504,
             runs: 1,
             has_retry_after: false,
@@ -118,8 +118,8 @@
 fn check_case(case: &FailingCase) {
     let site = Site::start(1);
     let servers = [
-        ServerStandIn::start(site.ip(0)).unwrap(),
-        ServerStandIn::start(site.ip(0)).unwrap(),
+        ServerStub::start(site.ip(0)).unwrap(),
+        ServerStub::start(site.ip(0)).unwrap(),
     ];
     for (number, server) in servers.iter().enumerate() {
         site.announce(&format!("s{number}"), server, 0);
@@ -129,7 +129,7 @@
     gateway.wait_served();
     let before: usize = servers.iter().map(|server| server.runs().len()).sum();
     for server in &servers {
-        server.set_failing(case.failing);
+        server.set_fault(case.failing);
     }
     let reply = call(gateway.callers(), &format!("{}x", case.path), "tested").expect(case.name);
     let after: usize = servers.iter().map(|server| server.runs().len()).sum();
@@ -171,8 +171,8 @@
     } = ServingSite::start();
     let whole = call(gateway.callers(), "/stream/x", "whole").unwrap();
     assert!(!whole.broken);
-    assert_eq!(whole.text(), ServerStandIn::whole_stream());
-    server.set_failing(ServerFailing::BreaksOff);
+    assert_eq!(whole.text(), ServerStub::whole_stream());
+    server.set_fault(ServerFault::Disconnects);
     let broken = call(gateway.callers(), "/stream/x", "broken").unwrap();
     assert!(broken.broken, "a stream that broke off looks whole");
 }
@@ -181,14 +181,14 @@
 fn a_resumable_stream_goes_on_at_another_server() {
     let site = Site::start(1);
     let servers = [
-        ServerStandIn::start(site.ip(0)).unwrap(),
-        ServerStandIn::start(site.ip(0)).unwrap(),
+        ServerStub::start(site.ip(0)).unwrap(),
+        ServerStub::start(site.ip(0)).unwrap(),
     ];
     site.announce("s0", &servers[0], 0);
     site.configure(1);
     let gateway = site.gateway(0);
     gateway.wait_served();
-    servers[0].set_failing(ServerFailing::BreaksOff);
+    servers[0].set_fault(ServerFault::Disconnects);
     site.announce("s1", &servers[1], 0);
     // Whichever is asked first, an answer is whole; the one that breaks off is
     // asked sooner or later, and then the other one goes on after its event.
@@ -202,7 +202,7 @@
             .any(|run| run.call.last_event.as_deref() == Some("1"));
         if is_resumed {
             assert!(!reply.broken);
-            assert_eq!(reply.text(), ServerStandIn::whole_stream());
+            assert_eq!(reply.text(), ServerStub::whole_stream());
         }
         is_resumed
     });
@@ -215,10 +215,10 @@
         server,
         site: _site,
     } = ServingSite::start();
-    server.set_failing(ServerFailing::Mute);
+    server.set_fault(ServerFault::Unresponsive);
     let before = server.runs().len();
     let mut stream = std::net::TcpStream::connect(gateway.callers()).unwrap();
-    let headers = onyxfall_adapter::standin::caller_headers(
+    let headers = onyxfall_adapter::stub::caller_headers(
         support::HOST,
         "leaver",
         std::time::Duration::from_secs(3),
--- a/crates/gateway/tests/frames.rs
+++ b/crates/gateway/tests/frames.rs
@@ -11,9 +11,9 @@
 use bytes::Bytes;
 use http::StatusCode;
 use onyxfall_wire::{
-    FrameWriter, LostLifeEntry, PROTOCOL_VERSION, PeerHello, PeerPayload, RegionLoadEntry,
+    FrameWriter, LostInstanceEntry, PROTOCOL_VERSION, PeerHello, PeerPayload, RegionLoadEntry,
     ServerWorkEntry, ServiceCostEntry, ServiceLoadEntry, SnapshotItem, StoreDelta, StoreSnapshot,
-    SuspectEntry, VmEntry, VmUpdate, VmWord, WorkSet,
+    SuspectEntry, VmEntry, VmRosterUpdate, VmUpdate, WorkSet,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -52,10 +52,10 @@
     VmUpdate {
         relation: 1,
         record: Some(entry("stranger")),
-        word: Some(VmWord {
+        word: Some(VmRosterUpdate {
             is_whole: true,
             vms: vec![entry("other")],
-            ..VmWord::default()
+            ..VmRosterUpdate::default()
         }),
         work: Some(WorkSet {
             is_whole: true,
@@ -91,7 +91,7 @@
             ages_ms: vec![5, 5],
             ..SuspectEntry::default()
         }],
-        lost_lives: vec![LostLifeEntry {
+        lost_lives: vec![LostInstanceEntry {
             life: 1,
             survivals: 0,
             lost_ms: Some(5),
--- a/crates/gateway/tests/large_copy.rs
+++ b/crates/gateway/tests/large_copy.rs
@@ -5,8 +5,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use http::StatusCode;
-use onyxfall_adapter::standin::{long_server_body, server_body, server_key};
-use onyxfall_fakes::ServerStandIn;
+use onyxfall_adapter::stub::{long_server_body, server_body, server_key};
+use onyxfall_fakes::ServerStub;
 use onyxfall_fleet::ServerRecord;
 use support::{Site, call, get, record, wait_for};
 
@@ -20,7 +20,7 @@
 #[test]
 fn a_copy_that_is_larger_than_a_message_reaches_a_vm_without_the_store() {
     let site = Site::start_in(2, 1);
-    let server = ServerStandIn::start(site.ip(0)).unwrap();
+    let server = ServerStub::start(site.ip(0)).unwrap();
     site.put(&record(LAST_SERVER, &server, 5));
     let other = ServerRecord {
         service: "other".parse().unwrap(),
@@ -61,7 +61,7 @@
 #[test]
 fn a_copy_takes_a_quarter_of_the_bytes_of_its_entries() {
     let site = Site::start_in(2, 1);
-    let server = ServerStandIn::start(site.ip(0)).unwrap();
+    let server = ServerStub::start(site.ip(0)).unwrap();
     let mut bytes = 0;
     for number in 0..USUAL_ENTRIES {
         let mixed = number.wrapping_mul(0x9e37_79b1);
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -23,11 +23,11 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use http::StatusCode;
-use onyxfall_fakes::{SaidWord, ServerFailing, ServerStandIn};
+use onyxfall_fakes::{ServerFault, ServerStub, StubSignals};
 use onyxfall_fleet::ServerRecord;
 use support::{Gateway, Site, call, record, relay, wait_used};
 
-const LEAVING: SaidWord = SaidWord {
+const LEAVING: StubSignals = StubSignals {
     is_leaving: true,
     rest: None,
     limit: None,
@@ -38,16 +38,16 @@
 /// A VM with two servers, both in use, the first of which begins to say that it leaves.
 struct LeavingSite {
     gateway: Gateway,
-    leaving: ServerStandIn,
-    other: ServerStandIn,
+    leaving: ServerStub,
+    other: ServerStub,
     site: Site,
 }
 
 impl LeavingSite {
     fn start() -> Self {
         let site = Site::start(1);
-        let leaving = ServerStandIn::start(site.ip(0)).unwrap();
-        let other = ServerStandIn::start(site.ip(0)).unwrap();
+        let leaving = ServerStub::start(site.ip(0)).unwrap();
+        let other = ServerStub::start(site.ip(0)).unwrap();
         site.put(&record("leaving", &leaving, 5));
         site.put(&record("other", &other, 5));
         site.configure(1);
@@ -63,16 +63,16 @@
         all
     }
 
-    fn wait_used(&self, what: &str, server: &ServerStandIn) {
+    fn wait_used(&self, what: &str, server: &ServerStub) {
         wait_used(what, &self.gateway, server);
     }
 
     /// Lets the server say in an answer that it leaves.
-    fn let_leave(&self, failing: ServerFailing) {
-        self.leaving.set_failing(failing);
-        self.leaving.set_word(LEAVING);
+    fn let_leave(&self, failing: ServerFault) {
+        self.leaving.set_fault(failing);
+        self.leaving.set_signals(LEAVING);
         self.wait_used("the server to say that it leaves", &self.leaving);
-        self.leaving.set_failing(ServerFailing::None);
+        self.leaving.set_fault(ServerFault::None);
     }
 
     fn check_unused(&self, name: &str, path: &str) {
@@ -93,7 +93,7 @@
 struct LeavingCase {
     name: &'static str,
     /// What the server does with the request by whose answer it tells.
-    failing: ServerFailing,
+    failing: ServerFault,
     path: &'static str,
 }
 
@@ -101,7 +101,7 @@
 fn a_server_that_says_that_it_leaves_gets_nothing_more() {
     let served = |name, path| LeavingCase {
         name,
-        failing: ServerFailing::None,
+        failing: ServerFault::None,
         path,
     };
     let told = |name, failing| LeavingCase {
@@ -114,11 +114,11 @@
         served("requests that may be repeated", "/repeat/x"),
         served("streams", "/stream/x"),
         served("streams that may be resumed", "/stream/resume/x"),
-        told("told by a refusal", ServerFailing::Sheds),
-        told("told by a failure", ServerFailing::Fails),
+        told("told by a refusal", ServerFault::Rejects),
+        told("told by a failure", ServerFault::Fails),
         told(
             "told by the answer of another request",
-            ServerFailing::Stray,
+            ServerFault::WrongResponse,
         ),
     ];
     std::thread::scope(|scope| {
@@ -137,9 +137,9 @@
 #[test]
 fn an_entry_that_says_ready_does_not_undo_a_leaving() {
     let site = LeavingSite::start();
-    site.let_leave(ServerFailing::None);
+    site.let_leave(ServerFault::None);
     let seen = |what: &str| {
-        let third = ServerStandIn::start(site.site.ip(0)).unwrap();
+        let third = ServerStub::start(site.site.ip(0)).unwrap();
         site.site.put(&record("third", &third, 5));
         site.wait_used(what, &third);
         site.site.retire("third");
@@ -156,7 +156,7 @@
     site.site.put(&record("leaving", &site.leaving, 5));
     seen("the entry that came back to be read");
     site.check_unused("gone and back", "/repeat/x");
-    let later = ServerStandIn::start(site.site.ip(0)).unwrap();
+    let later = ServerStub::start(site.site.ip(0)).unwrap();
     // As late as a leaving server's next life is, which has served on for some seconds.
     let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap() + Duration::from_secs(5);
     let born = u64::try_from(born.as_millis()).unwrap();
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use http::StatusCode;
-use onyxfall_fakes::{ArrivedRequest, SaidWord, ServerFailing, ServerStandIn};
+use onyxfall_fakes::{ArrivedRequest, ServerFault, ServerStub, StubSignals};
 use support::{Gateway, Site, call, wait_for, wait_used};
 
 const WINDOW: Duration = Duration::from_secs(4);
@@ -23,17 +23,17 @@
 const PAUSE: Duration = Duration::from_millis(20);
 
 /// The word of a server that names a limit.
-fn limited(limit: &'static str) -> SaidWord {
-    SaidWord {
+fn limited(limit: &'static str) -> StubSignals {
+    StubSignals {
         limit: Some(limit),
-        ..SaidWord::default()
+        ..StubSignals::default()
     }
 }
 
 /// VMs of one region, and servers that all of them use.
 struct LimitedSite {
     gateways: Vec<Gateway>,
-    servers: Vec<ServerStandIn>,
+    servers: Vec<ServerStub>,
     // Dropped last: the addresses of the others are its.
     site: Site,
 }
@@ -58,8 +58,8 @@
     }
 
     /// Lets a server name a limit until every VM has read it.
-    fn let_limit(&self, server: &ServerStandIn, limit: &'static str) {
-        server.set_word(limited(limit));
+    fn let_limit(&self, server: &ServerStub, limit: &'static str) {
+        server.set_signals(limited(limit));
         for gateway in &self.gateways {
             let is_told = || gateway.log().contains("limit of a server changed");
             wait_for("a VM to read the limit", || {
@@ -104,7 +104,7 @@
     limit: &'static str,
     vms: u8,
     path: &'static str,
-    failing: ServerFailing,
+    failing: ServerFault,
 }
 
 #[test]
@@ -114,7 +114,7 @@
         limit,
         vms,
         path,
-        failing: ServerFailing::None,
+        failing: ServerFault::None,
     };
     let cases = [
         case("one VM", "2", 1, "/repeat/x"),
@@ -123,7 +123,7 @@
         case("streams", "2", 2, "/stream/resume/x"),
         case("a limit of nothing", "0", 2, "/repeat/x"),
         LimitCase {
-            failing: ServerFailing::Sheds,
+            failing: ServerFault::Rejects,
             ..case("named in refusals", "2", 2, "/repeat/x")
         },
     ];
@@ -132,7 +132,7 @@
             scope.spawn(move || {
                 let site = LimitedSite::start(case.vms, 2);
                 let server = &site.servers[0];
-                server.set_failing(case.failing);
+                server.set_fault(case.failing);
                 site.let_limit(server, case.limit);
                 thread::sleep(TOLD);
                 let before = server.arrived();
@@ -176,7 +176,7 @@
 }
 
 /// Waits until a VM sends a server a good part of its requests, of two servers.
-fn wait_shared(what: &str, gateway: &Gateway, server: &ServerStandIn) {
+fn wait_shared(what: &str, gateway: &Gateway, server: &ServerStub) {
     wait_for(what, || {
         let before = server.arrived();
         for number in 0..20 {
@@ -191,7 +191,7 @@
     let site = LimitedSite::start(3, 2);
     let server = &site.servers[0];
     site.let_limit(server, "1");
-    server.set_word(SaidWord::default());
+    server.set_signals(StubSignals::default());
     for gateway in &site.gateways {
         wait_shared("a VM to use the server again", gateway, server);
     }
@@ -202,7 +202,7 @@
     let site = LimitedSite::start(1, 2);
     let server = &site.servers[0];
     site.let_limit(server, "0");
-    server.set_word(SaidWord::default());
+    server.set_signals(StubSignals::default());
     site.site.retire("s0");
     site.site.announce("s9", server, 0);
     wait_shared("the new life to be used", &site.gateways[0], server);
--- a/crates/gateway/tests/links.rs
+++ b/crates/gateway/tests/links.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use onyxfall_fakes::ServerStandIn;
+use onyxfall_fakes::ServerStub;
 use onyxfall_wire::{
     FrameReader, FrameWriter, PROTOCOL_VERSION, PeerHello, PeerPayload, SnapshotRequest, VmEntry,
     VmUpdate,
@@ -85,9 +85,9 @@
     }
 }
 
-fn start() -> (Site, ServerStandIn, Gateway) {
+fn start() -> (Site, ServerStub, Gateway) {
     let site = Site::start(2);
-    let server = ServerStandIn::start(site.ip(0)).unwrap();
+    let server = ServerStub::start(site.ip(0)).unwrap();
     site.announce("s0", &server, 0);
     site.configure(1);
     let gateway = site.gateway(0);
--- a/crates/gateway/tests/relay.rs
+++ b/crates/gateway/tests/relay.rs
@@ -2,12 +2,12 @@
 
 mod support;
 
-use onyxfall_fakes::{ServerFailing, ServerStandIn};
+use onyxfall_fakes::{ServerFault, ServerStub};
 use support::{Site, relay};
 
 struct RelayCase {
     name: &'static str,
-    failing: ServerFailing,
+    failing: ServerFault,
     homes: &'static str,
     /// Whether a server answers, and what is told if not.
     verdict: Option<&'static str>,
@@ -19,28 +19,28 @@
     let cases = [
         RelayCase {
             name: "served",
-            failing: ServerFailing::None,
+            failing: ServerFault::None,
             homes: "",
             verdict: None,
             arrived: true,
         },
         RelayCase {
             name: "turned away by the server",
-            failing: ServerFailing::Sheds,
+            failing: ServerFault::Rejects,
             homes: "",
             verdict: Some("not-run"),
             arrived: true,
         },
         RelayCase {
             name: "this region is no home",
-            failing: ServerFailing::None,
+            failing: ServerFault::None,
             homes: "elsewhere",
             verdict: Some("not-run"),
             arrived: false,
         },
         RelayCase {
             name: "lost at the server",
-            failing: ServerFailing::Closes,
+            failing: ServerFault::Closes,
             homes: "",
             verdict: Some("may-have-run"),
             arrived: true,
@@ -49,8 +49,8 @@
     // A second region is there, so that passing on would be possible.
     let site = Site::start(2);
     let servers = [
-        ServerStandIn::start(site.ip(0)).unwrap(),
-        ServerStandIn::start(site.ip(1)).unwrap(),
+        ServerStub::start(site.ip(0)).unwrap(),
+        ServerStub::start(site.ip(1)).unwrap(),
     ];
     site.announce("s0", &servers[0], 0);
     site.announce("s1", &servers[1], 1);
@@ -61,7 +61,7 @@
     }
     let elsewhere = servers[1].runs().len();
     for case in cases {
-        servers[0].set_failing(case.failing);
+        servers[0].set_fault(case.failing);
         let own = [("onyxfall-urgency", "3"), ("onyxfall-homes", case.homes)];
         let reply = relay(&gateways[0], "/once/x", "relayed", &own);
         let told = |name: &str| reply.headers.get(name).map(|value| value.to_str().unwrap());
--- a/crates/gateway/tests/resting.rs
+++ b/crates/gateway/tests/resting.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use onyxfall_fakes::{AskedRest, SaidWord, ServerStandIn};
+use onyxfall_fakes::{RequestedBackoff, ServerStub, StubSignals};
 use support::{Gateway, Site, call, wait_used};
 
 const PATH: &str = "/repeat/x";
@@ -35,18 +35,18 @@
 const ON_THE_WAY: Duration = Duration::from_millis(500);
 const MOST_LATER: usize = 2;
 
-fn resting(seconds: &'static str) -> SaidWord {
-    SaidWord {
+fn resting(seconds: &'static str) -> StubSignals {
+    StubSignals {
         is_leaving: false,
-        rest: Some(AskedRest { seconds, every: 1 }),
-        ..SaidWord::default()
+        rest: Some(RequestedBackoff { seconds, every: 1 }),
+        ..StubSignals::default()
     }
 }
 
 /// A VM with servers that are all in use.
 struct RestingSite {
     gateway: Gateway,
-    servers: Vec<ServerStandIn>,
+    servers: Vec<ServerStub>,
     // Dropped last: the addresses of the others are its.
     _site: Site,
 }
@@ -69,13 +69,13 @@
         all
     }
 
-    fn wait_used(&self, what: &str, server: &ServerStandIn) {
+    fn wait_used(&self, what: &str, server: &ServerStub) {
         wait_used(what, &self.gateway, server);
     }
 
     /// Lets a server turn a request away.
     fn let_rest(&self, server: usize, seconds: &'static str) {
-        self.servers[server].set_word(resting(seconds));
+        self.servers[server].set_signals(resting(seconds));
         self.wait_used("the server to ask for rest", &self.servers[server]);
     }
 }
@@ -101,7 +101,7 @@
         let site = RestingSite::start(2);
         site.let_rest(0, case.seconds);
         let server = &site.servers[0];
-        server.set_word(SaidWord::default());
+        server.set_signals(StubSignals::default());
         let before = server.arrived();
         for number in 0..REQUESTS {
             let id = format!("tested{number}");
@@ -122,7 +122,7 @@
     let site = RestingSite::start(2);
     let server = &site.servers[0];
     let before = server.arrived();
-    server.set_word(resting("1"));
+    server.set_signals(resting("1"));
     let address = site.gateway.callers();
     thread::scope(|scope| {
         for caller in 0..CALLERS {
@@ -159,7 +159,7 @@
     let site = RestingSite::start(2);
     site.let_rest(0, "30");
     site.let_rest(1, "60");
-    let before: usize = site.servers.iter().map(ServerStandIn::arrived).sum();
+    let before: usize = site.servers.iter().map(ServerStub::arrived).sum();
     for number in 0..REQUESTS {
         let id = format!("tested{number}");
         let reply = call(site.gateway.callers(), PATH, &id).unwrap();
@@ -169,7 +169,7 @@
         // The first of the two is back after 30 s; not all callers come in that second.
         assert!((10.0..=45.0).contains(&after), "back after {after} s");
     }
-    let after: usize = site.servers.iter().map(ServerStandIn::arrived).sum();
+    let after: usize = site.servers.iter().map(ServerStub::arrived).sum();
     assert_eq!(after, before, "no server is asked");
 }
 
--- a/crates/gateway/tests/restored.rs
+++ b/crates/gateway/tests/restored.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use onyxfall_fakes::ServerStandIn;
+use onyxfall_fakes::ServerStub;
 use onyxfall_fleet::ServerPhase;
 use support::{Gateway, Site, call, wait_for, wait_used};
 
@@ -42,7 +42,7 @@
 /// VMs and servers in use, and a store that has kept a copy of that.
 struct CopiedSite {
     gateways: Vec<Gateway>,
-    servers: Vec<ServerStandIn>,
+    servers: Vec<ServerStub>,
     // Dropped last: the addresses of the others are its.
     site: Site,
 }
@@ -56,7 +56,7 @@
         for gateway in &gateways {
             gateway.wait_served();
         }
-        site.store.keep_copy();
+        site.store.save_snapshot();
         Self {
             gateways,
             servers,
@@ -69,7 +69,7 @@
         self.change_much_of("s0", &self.servers[0]);
     }
 
-    fn change_much_of(&self, name: &str, server: &ServerStandIn) {
+    fn change_much_of(&self, name: &str, server: &ServerStub) {
         for _ in 0..LATER_CHANGES {
             self.site.announce(name, server, 0);
         }
@@ -103,7 +103,7 @@
                 site.change_much();
                 site.site.configure(2);
                 site.wait_versions(2);
-                site.site.store.restore_copy();
+                site.site.store.restore_snapshot();
                 site.site.configure(3);
                 site.wait_versions(3);
                 for gateway in &site.gateways {
@@ -123,7 +123,7 @@
     let gateway = &site.gateways[0];
     let (old, new) = (
         &site.servers[0],
-        ServerStandIn::start(site.site.ip(0)).unwrap(),
+        ServerStub::start(site.site.ip(0)).unwrap(),
     );
     site.site.announce("s9", &new, 0);
     wait_used("the new server to be used", gateway, &new);
@@ -140,7 +140,7 @@
         (old.arrived() + leaving.arrived(), new.arrived()) == before
     });
     let before = old.arrived() + leaving.arrived();
-    site.site.store.restore_copy();
+    site.site.store.restore_snapshot();
     wait_for("the gateway to hear of it", || {
         gateway.log().contains("store was restored")
     });
@@ -181,7 +181,7 @@
         }
         server.arrived() == before
     });
-    site.site.store.restore_copy();
+    site.site.store.restore_snapshot();
     site.change_much();
     wait_used("the server to be used again", &site.gateways[0], server);
 }
--- a/crates/gateway/tests/rollouts.rs
+++ b/crates/gateway/tests/rollouts.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use onyxfall_adapter::standin::{order_body, order_key, read_status, status_key};
-use onyxfall_fakes::{ServerFailing, ServerStandIn, StoreMode};
+use onyxfall_adapter::stub::{order_body, order_key, read_status, status_key};
+use onyxfall_fakes::{ServerFault, ServerStub, StoreMode};
 use support::{Gateway, SERVICE, Site, call, record, wait_for};
 
 const OLD: &str = "v1";
@@ -18,8 +18,8 @@
 
 struct RolloutSite {
     gateways: Vec<Gateway>,
-    old: Vec<ServerStandIn>,
-    new: Vec<ServerStandIn>,
+    old: Vec<ServerStub>,
+    new: Vec<ServerStub>,
     site: Site,
     asked: usize,
 }
@@ -46,16 +46,16 @@
         started
     }
 
-    fn add_servers(&self, version: &str) -> Vec<ServerStandIn> {
+    fn add_servers(&self, version: &str) -> Vec<ServerStub> {
         let add = |number| {
-            let server = ServerStandIn::start(self.site.ip(0)).unwrap();
+            let server = ServerStub::start(self.site.ip(0)).unwrap();
             self.announce(version, number, &server);
             server
         };
         (0..3).map(add).collect()
     }
 
-    fn announce(&self, version: &str, number: usize, server: &ServerStandIn) {
+    fn announce(&self, version: &str, number: usize, server: &ServerStub) {
         let mut entry = record(&format!("{version}-{number}"), server, 5);
         entry.version = Some(version.parse().unwrap());
         self.site.put(&entry);
@@ -69,12 +69,12 @@
     }
 
     /// Orders the new version and starts its servers.
-    fn order(&mut self, failing: ServerFailing) {
+    fn order(&mut self, failing: ServerFault) {
         let body = order_body(SERVICE, NEW, SECONDS);
         self.site.store.put(&order_key(SERVICE), body);
         self.new = self.add_servers(NEW);
         for server in &self.new {
-            server.set_failing(failing);
+            server.set_fault(failing);
         }
     }
 
@@ -104,8 +104,8 @@
         statuses
     }
 
-    fn arrived(servers: &[ServerStandIn]) -> usize {
-        servers.iter().map(ServerStandIn::arrived).sum()
+    fn arrived(servers: &[ServerStub]) -> usize {
+        servers.iter().map(ServerStub::arrived).sum()
     }
 
     /// Part of the requests that have reached the new version since there were `old` at
@@ -120,7 +120,7 @@
 #[test]
 fn a_bad_version_is_given_up_and_gets_nothing_more() {
     let mut site = RolloutSite::start(2);
-    site.order(ServerFailing::Fails);
+    site.order(ServerFault::Fails);
     let old = RolloutSite::arrived(&site.old);
     site.wait_state("rolled_back");
     assert!(RolloutSite::arrived(&site.new) > 0, "it was tried");
@@ -136,7 +136,7 @@
 #[test]
 fn a_good_version_takes_over() {
     let mut site = RolloutSite::start(2);
-    site.order(ServerFailing::None);
+    site.order(ServerFault::None);
     site.wait_state("running");
     site.wait_state("completed");
     let before = RolloutSite::arrived(&site.old);
@@ -148,7 +148,7 @@
 #[test]
 fn an_order_that_is_taken_back_is_rolled_back() {
     let mut site = RolloutSite::start(2);
-    site.order(ServerFailing::None);
+    site.order(ServerFault::None);
     site.wait_state("running");
     site.site.store.delete(&order_key(SERVICE));
     site.wait_state("rolled_back");
@@ -161,10 +161,10 @@
 #[test]
 fn an_order_written_anew_is_a_new_roll_out() {
     let mut site = RolloutSite::start(2);
-    site.order(ServerFailing::Fails);
+    site.order(ServerFault::Fails);
     site.wait_state("rolled_back");
     for server in &site.new {
-        server.set_failing(ServerFailing::None);
+        server.set_fault(ServerFault::None);
     }
     let body = order_body(SERVICE, NEW, SECONDS);
     site.site.store.put(&order_key(SERVICE), body);
@@ -175,15 +175,15 @@
 #[test]
 fn a_lost_answer_of_a_write_does_not_hold_a_roll_out() {
     let mut site = RolloutSite::start(2);
-    site.site.store.lose_write_answers(2);
-    site.order(ServerFailing::Fails);
+    site.site.store.drop_write_responses(2);
+    site.order(ServerFault::Fails);
     site.wait_state("rolled_back");
 }
 
 #[test]
 fn vms_close_a_bad_version_while_the_store_is_away() {
     let mut site = RolloutSite::start(2);
-    site.order(ServerFailing::Fails);
+    site.order(ServerFault::Fails);
     wait_for("both VMs to send a sample", || {
         site.gateways
             .iter()
@@ -199,14 +199,14 @@
     let before = RolloutSite::arrived(&site.new);
     site.ask(60);
     assert_eq!(RolloutSite::arrived(&site.new), before);
-    site.site.store.set_mode(StoreMode::Well);
+    site.site.store.set_mode(StoreMode::Normal);
     site.wait_state("rolled_back");
 }
 
 #[test]
 fn the_writer_of_a_record_may_be_killed() {
     let mut site = RolloutSite::start(3);
-    site.order(ServerFailing::Fails);
+    site.order(ServerFault::Fails);
     site.wait_state("running");
     let is_writer = |gateway: &Gateway| gateway.log().contains("record of a roll-out");
     let mut writer = None;
@@ -309,7 +309,7 @@
     let mut site = RolloutSite::start(2);
     site.gateways.truncate(1);
     std::thread::sleep(Duration::from_secs(3));
-    site.order(ServerFailing::None);
+    site.order(ServerFault::None);
     site.wait_state("running");
     site.ask(100);
     assert_eq!(RolloutSite::arrived(&site.new), 0);
@@ -338,21 +338,21 @@
                 let mut site = RolloutSite::start(2);
                 let keep = |site: &RolloutSite, now: CopyMoment| {
                     if now == moment {
-                        site.site.store.keep_copy();
+                        site.site.store.save_snapshot();
                     }
                 };
                 keep(&site, CopyMoment::BeforeOrder);
-                site.order(ServerFailing::None);
+                site.order(ServerFault::None);
                 site.wait_state("running");
                 keep(&site, CopyMoment::WhileRunning);
                 for server in &site.new {
-                    server.set_failing(ServerFailing::Fails);
+                    server.set_fault(ServerFault::Fails);
                 }
                 site.wait_state("rolled_back");
                 site.ask(20);
                 keep(&site, CopyMoment::AfterEnd);
                 let before = RolloutSite::arrived(&site.new);
-                site.site.store.restore_copy();
+                site.site.store.restore_snapshot();
                 if moment == CopyMoment::BeforeOrder {
                     site.announce_new();
                     let body = order_body(SERVICE, NEW, SECONDS);
--- a/crates/gateway/tests/silence.rs
+++ b/crates/gateway/tests/silence.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::Duration;
 
-use onyxfall_fakes::{ServerFailing, ServerStandIn};
+use onyxfall_fakes::{ServerFault, ServerStub};
 use support::{Gateway, Site, call, wait_for, wait_used};
 
 /// Requests that each VM has under way at once.
@@ -36,8 +36,8 @@
 fn requests_that_may_be_repeated_leave_a_server_that_several_vms_miss() {
     let site = Site::start_in(2, 1);
     let servers = [
-        ServerStandIn::start(site.ip(0)).unwrap(),
-        ServerStandIn::start(site.ip(0)).unwrap(),
+        ServerStub::start(site.ip(0)).unwrap(),
+        ServerStub::start(site.ip(0)).unwrap(),
     ];
     site.announce("s0", &servers[0], 0);
     site.announce("s1", &servers[1], 0);
@@ -46,7 +46,7 @@
     for gateway in &gateways {
         gateway.wait_served();
     }
-    servers[0].set_failing(ServerFailing::Mute);
+    servers[0].set_fault(ServerFault::Unresponsive);
     let muted_at = servers[0].runs().len();
     // A request that stays at the mute server ends with its route's time, as a failure.
     let mut round = 0;
@@ -87,7 +87,7 @@
             wait_used("every server to be used", gateway, server);
         }
     }
-    servers[0].set_failing(ServerFailing::Mute);
+    servers[0].set_fault(ServerFault::Unresponsive);
     let lost = thread::scope(|scope| {
         let first = scope.spawn(|| call_all(&gateways[0], "/repeat/x", 0));
         thread::sleep(LATER);
--- a/crates/gateway/tests/stop.rs
+++ b/crates/gateway/tests/stop.rs
@@ -4,7 +4,7 @@
 
 use std::process::Command;
 
-use onyxfall_fakes::ServerStandIn;
+use onyxfall_fakes::ServerStub;
 use support::{ServingSite, call, wait_for};
 
 #[test]
@@ -32,7 +32,7 @@
     for number in 0..5 {
         gateway.signal("-HUP");
         let reply = call(gateway.callers(), "/stream/x", &format!("h{number}")).unwrap();
-        assert_eq!(reply.text(), ServerStandIn::whole_stream());
+        assert_eq!(reply.text(), ServerStub::whole_stream());
     }
 }
 
--- a/crates/gateway/tests/store.rs
+++ b/crates/gateway/tests/store.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use onyxfall_adapter::standin::{config_key, server_key};
-use onyxfall_fakes::{ServerStandIn, StoreMode};
+use onyxfall_adapter::stub::{config_key, server_key};
+use onyxfall_fakes::{ServerStub, StoreMode};
 use onyxfall_fleet::ServerPhase;
 use support::{ServingSite, Site, call, get, wait_for};
 
@@ -31,10 +31,10 @@
         server,
         site,
     } = ServingSite::start_at(5);
-    let older = onyxfall_adapter::standin::document_body(4, &[], &[]);
+    let older = onyxfall_adapter::stub::document_body(4, &[], &[]);
     site.store.put(config_key(), older);
     // Later items are seen after the older configuration was.
-    let second = ServerStandIn::start(site.ip(0)).unwrap();
+    let second = ServerStub::start(site.ip(0)).unwrap();
     site.announce("s1", &second, 0);
     let draining = ServerPhase::Draining { left: None };
     site.announce_as("s0", server.address(), 0, draining);
@@ -53,8 +53,8 @@
 #[test]
 fn a_leaving_server_gets_nothing_more() {
     let site = Site::start(1);
-    let leaving = ServerStandIn::start(site.ip(0)).unwrap();
-    let staying = ServerStandIn::start(site.ip(0)).unwrap();
+    let leaving = ServerStub::start(site.ip(0)).unwrap();
+    let staying = ServerStub::start(site.ip(0)).unwrap();
     site.announce("s0", &leaving, 0);
     site.configure(1);
     let gateway = site.gateway(0);
@@ -78,12 +78,12 @@
         server: _server,
         site,
     } = ServingSite::start();
-    let second = ServerStandIn::start(site.ip(0)).unwrap();
+    let second = ServerStub::start(site.ip(0)).unwrap();
     site.store.set_mode(StoreMode::Refusing);
     site.announce("s1", &second, 0);
     site.store.delete(&server_key("s0"));
-    site.store.forget_history();
-    site.store.set_mode(StoreMode::Well);
+    site.store.compact_history();
+    site.store.set_mode(StoreMode::Normal);
     wait_for("the second server to be used", || {
         call(gateway.callers(), "/once/x", "a").unwrap();
         !second.runs().is_empty()
@@ -97,7 +97,7 @@
         server: _server,
         site,
     } = ServingSite::start();
-    for mode in [StoreMode::Refusing, StoreMode::Silent] {
+    for mode in [StoreMode::Refusing, StoreMode::Unresponsive] {
         site.store.set_mode(mode);
         let reply = call(gateway.callers(), "/once/x", "away").unwrap();
         assert_eq!(reply.status.as_u16(), 200, "{mode:?}");
@@ -107,7 +107,7 @@
 #[test]
 fn a_gateway_without_the_store_takes_its_peers_copy() {
     let site = Site::start(2);
-    let server = ServerStandIn::start(site.ip(0)).unwrap();
+    let server = ServerStub::start(site.ip(0)).unwrap();
     site.announce("s0", &server, 0);
     site.configure(1);
     let first = site.gateway(0);
@@ -123,7 +123,7 @@
 #[test]
 fn the_directory_names_near_vms_first() {
     let site = Site::start(2);
-    let server = ServerStandIn::start(site.ip(0)).unwrap();
+    let server = ServerStub::start(site.ip(0)).unwrap();
     site.announce("s0", &server, 0);
     site.configure(1);
     let gateways = [site.gateway(0), site.gateway(1)];
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -17,12 +17,12 @@
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
-use onyxfall_adapter::standin::{
+use onyxfall_adapter::stub::{
     RouteShape, RouteText, ServiceText, TeamText, caller_headers, config_key, document_body,
     document_with_teams, server_body, server_key,
 };
-use onyxfall_fakes::{ServerStandIn, StoreStandIn};
-use onyxfall_fleet::{EngineLimits, ServerBirth, ServerPhase, ServerRecord};
+use onyxfall_fakes::{ServerStub, StoreStub};
+use onyxfall_fleet::{EngineLimits, ServerPhase, ServerRecord, StartTime};
 use tokio::net::TcpSocket;
 
 pub const HOST: &str = "a.example";
@@ -58,7 +58,7 @@
 
 /// Loopback addresses that no other test uses, and ports that are free on them.
 pub struct Site {
-    pub store: StoreStandIn,
+    pub store: StoreStub,
     pub ports: Ports,
     ips: Vec<Ipv4Addr>,
     regions: usize,
@@ -87,7 +87,7 @@
         let ips: Vec<Ipv4Addr> = (0..vms)
             .map(|vm| Ipv4Addr::new(127, 64 + (high % 64), low, base + vm + 1))
             .collect();
-        let store = StoreStandIn::start(stand_in_ip(ips[0])).unwrap();
+        let store = StoreStub::start(stand_in_ip(ips[0])).unwrap();
         let dir = std::env::temp_dir().join(format!("onyxfall-test-{process}-{number}"));
         fs::create_dir_all(&dir).unwrap();
         let ports = free_ports(&ips);
@@ -158,9 +158,9 @@
     }
 
     /// Starts and announces servers of the first VM's data centre, `s0` and on.
-    pub fn start_servers(&self, count: usize) -> Vec<ServerStandIn> {
+    pub fn start_servers(&self, count: usize) -> Vec<ServerStub> {
         let start = |number| {
-            let server = ServerStandIn::start(self.ip(0)).unwrap();
+            let server = ServerStub::start(self.ip(0)).unwrap();
             self.announce(&format!("s{number}"), &server, 0);
             server
         };
@@ -174,7 +174,7 @@
     }
 
     /// Announces a server of the data centre of a VM.
-    pub fn announce(&self, name: &str, server: &ServerStandIn, vm: usize) {
+    pub fn announce(&self, name: &str, server: &ServerStub, vm: usize) {
         self.announce_as(name, server.address(), vm, ServerPhase::Ready);
     }
 
@@ -188,7 +188,7 @@
     }
 
     /// Announces a model server of the data centre of a VM.
-    pub fn announce_model(&self, name: &str, server: &ServerStandIn, vm: usize) {
+    pub fn announce_model(&self, name: &str, server: &ServerStub, vm: usize) {
         self.announce_of(MODELS, name, server.address(), vm, ServerPhase::Ready);
     }
 
@@ -202,7 +202,7 @@
     ) {
         let record = ServerRecord {
             name: name.parse().unwrap(),
-            born: ServerBirth::UNKNOWN,
+            born: StartTime::UNKNOWN,
             service: service.parse().unwrap(),
             version: None,
             address,
@@ -283,7 +283,7 @@
 pub struct ServingSite {
     // Fields drop in order: the gateway first, its surroundings after it.
     pub gateway: Gateway,
-    pub server: ServerStandIn,
+    pub server: ServerStub,
     pub site: Site,
 }
 
@@ -295,7 +295,7 @@
     /// With the configuration at `version`.
     pub fn start_at(version: u64) -> Self {
         let site = Site::start(1);
-        let server = ServerStandIn::start(site.ip(0)).unwrap();
+        let server = ServerStub::start(site.ip(0)).unwrap();
         site.announce("s0", &server, 0);
         site.configure(version);
         let gateway = site.gateway(0);
@@ -445,10 +445,10 @@
 }
 
 /// What a server of the first VM's data centre writes of itself.
-pub fn record(name: &str, server: &ServerStandIn, born: u64) -> ServerRecord {
+pub fn record(name: &str, server: &ServerStub, born: u64) -> ServerRecord {
     ServerRecord {
         name: name.parse().unwrap(),
-        born: ServerBirth::from_millis(born),
+        born: StartTime::from_millis(born),
         service: SERVICE.parse().unwrap(),
         version: None,
         address: server.address(),
@@ -481,7 +481,7 @@
 }
 
 /// Sends requests to a gateway until one reaches a server.
-pub fn wait_used(what: &str, gateway: &Gateway, server: &ServerStandIn) {
+pub fn wait_used(what: &str, gateway: &Gateway, server: &ServerStub) {
     let before = server.arrived();
     let mut asked = 0;
     wait_for(what, || {
--- a/crates/gateway/tests/suspension.rs
+++ b/crates/gateway/tests/suspension.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::Duration;
 
-use onyxfall_fakes::ServerFailing;
+use onyxfall_fakes::ServerFault;
 use support::{ServingSite, call, wait_for};
 
 /// Longer than any time-out of the test site.
@@ -36,7 +36,7 @@
         server,
         site,
     } = &serving;
-    server.set_failing(ServerFailing::Mute);
+    server.set_fault(ServerFault::Unresponsive);
     let callers = gateway.callers();
     let waiting = thread::spawn(move || call(callers, "/once/x", "waiting"));
     wait_for("the server to run it", || {
@@ -60,6 +60,6 @@
     assert!(u128::from(age) >= AWAY.as_millis(), "{age} ms are told");
     let log = gateway.log();
     assert!(log.contains("\"message\":\"was suspended\""));
-    server.set_failing(ServerFailing::None);
+    server.set_fault(ServerFault::None);
     gateway.wait_served();
 }
--- a/crates/gateway/tests/teams.rs
+++ b/crates/gateway/tests/teams.rs
@@ -7,8 +7,8 @@
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Method, StatusCode};
-use onyxfall_adapter::standin::{TeamText, caller_headers, claim_team};
-use onyxfall_fakes::ServerStandIn;
+use onyxfall_adapter::stub::{TeamText, caller_headers, claim_team};
+use onyxfall_fakes::ServerStub;
 use support::{Gateway, HOST, Reply, SERVICE, Site, get, send, wait_for};
 
 const KEY: &str = "jbvk9m68k7b2ex5wa5xw";
@@ -26,7 +26,7 @@
 struct TeamSite {
     // Fields drop in order: the gateways first, their surroundings after them.
     gateways: Vec<Gateway>,
-    servers: Vec<ServerStandIn>,
+    servers: Vec<ServerStub>,
     site: Site,
 }
 
@@ -34,7 +34,7 @@
     fn start(vms: u8, servers: u8, teams: &[TeamText<'_>]) -> Self {
         let site = Site::start(vms);
         let started = (0..usize::from(servers)).map(|vm| {
-            let server = ServerStandIn::start(site.ip(vm)).unwrap();
+            let server = ServerStub::start(site.ip(vm)).unwrap();
             site.announce(&format!("s{vm}"), &server, vm);
             server
         });
@@ -50,7 +50,7 @@
     }
 
     fn runs(&self, id: &str) -> usize {
-        let runs = self.servers.iter().flat_map(ServerStandIn::runs);
+        let runs = self.servers.iter().flat_map(ServerStub::runs);
         runs.filter(|run| run.call.request_id == id).count()
     }
 }
@@ -256,7 +256,7 @@
     let torn = format!("{{\"Version\":3,\"Tenants\":[{{\"ApiKeys\":[\"{KEY}\"");
     site.site
         .store
-        .put(onyxfall_adapter::standin::config_key(), torn);
+        .put(onyxfall_adapter::stub::config_key(), torn);
     wait_for("the torn document to be seen", || {
         site.gateways
             .iter()
--- a/crates/gateway/tests/watchers.rs
+++ b/crates/gateway/tests/watchers.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use onyxfall_adapter::standin::{RouteShape, RouteText, ServiceText, config_key, document_body};
-use onyxfall_fakes::ServerStandIn;
+use onyxfall_adapter::stub::{RouteShape, RouteText, ServiceText, config_key, document_body};
+use onyxfall_fakes::ServerStub;
 use support::{Gateway, Site, call, wait_for};
 
 /// VMs of the region, all in one.
@@ -15,9 +15,9 @@
 /// Looks in a row for which a state must hold to count as steady.
 const STEADY_LOOKS: usize = 40;
 
-fn start() -> (Vec<Gateway>, ServerStandIn, Site) {
+fn start() -> (Vec<Gateway>, ServerStub, Site) {
     let site = Site::start_in(VMS, 1);
-    let server = ServerStandIn::start(site.ip(0)).unwrap();
+    let server = ServerStub::start(site.ip(0)).unwrap();
     site.announce("s0", &server, 0);
     site.configure(1);
     let gateways: Vec<Gateway> = (0..usize::from(VMS)).map(|vm| site.gateway(vm)).collect();
@@ -49,8 +49,8 @@
 
 /// Writes a configuration without routes, which shows as 404.
 fn withdraw_routes(site: &Site, version: u64) {
-    let body = onyxfall_adapter::standin::document_body(version, &[], &[]);
-    let key = onyxfall_adapter::standin::config_key();
+    let body = onyxfall_adapter::stub::document_body(version, &[], &[]);
+    let key = onyxfall_adapter::stub::config_key();
     site.store.put(key, body);
 }
 
@@ -88,9 +88,9 @@
 fn a_watch_that_brings_nothing_is_given_up_once_others_know_more() {
     let (gateways, _server, site) = start();
     wait_watched(&site);
-    site.store.deafen_next_watch();
+    site.store.stall_next_watch();
     wait_for("a watch that waits for ever", || {
-        !site.store.awaits_deaf_watch()
+        !site.store.awaits_stalled_watch()
     });
     let before = site.store.answered_watches();
     withdraw_routes(&site, 2);
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -142,7 +142,7 @@
     let status = response.status().as_u16();
     let mut reader = response.into_body().into_reader();
     seen.outcome = match (status, verdict.as_str()) {
-        (200, _) => read_answer(&mut reader, kind, &mut seen.first_byte),
+        (200, _) => classify_response(&mut reader, kind, &mut seen.first_byte),
         (_, "not-run") => CallOutcome::NotRun,
         _ => CallOutcome::MayHaveRun,
     };
@@ -150,7 +150,11 @@
 }
 
 /// Reads to the end; a stream must end with its sentinel.
-fn read_answer(reader: &mut impl Read, kind: &LoadKind, first_byte: &mut Instant) -> CallOutcome {
+fn classify_response(
+    reader: &mut impl Read,
+    kind: &LoadKind,
+    first_byte: &mut Instant,
+) -> CallOutcome {
     let mut chunk = [0; 4096];
     let mut tail = Vec::new();
     let mut any = false;
--- a/crates/overlay/src/evidence.rs
+++ b/crates/overlay/src/evidence.rs
@@ -24,7 +24,7 @@
 
 /// Whom a word names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum WordScope {
+pub enum UpdateScope {
     /// VMs of its region that the teller hears itself.
     Own,
     /// VMs of its region that its aggregators hear.
@@ -35,16 +35,16 @@
     Hint,
 }
 
-impl WordScope {
+impl UpdateScope {
     /// Every scope, by its number in messages.
     pub const ALL: [Self; 4] = [Self::Own, Self::Region, Self::Fleet, Self::Hint];
 
     /// Its number in messages.
     ///
     /// ```
-    /// use onyxfall_overlay::WordScope;
-    /// for scope in WordScope::ALL {
-    ///     assert_eq!(WordScope::from_number(scope.number()), Some(scope));
+    /// use onyxfall_overlay::UpdateScope;
+    /// for scope in UpdateScope::ALL {
+    ///     assert_eq!(UpdateScope::from_number(scope.number()), Some(scope));
     /// }
     /// ```
     pub const fn number(self) -> u32 {
--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -23,13 +23,13 @@
 mod totals;
 mod word;
 
-pub use evidence::{Evidence, WordScope};
+pub use evidence::{Evidence, UpdateScope};
 pub use levels::{FleetLevels, GROUP_VMS, MESH_VMS};
 pub use node::{LinkState, OverlayNode, OverlayUpdate};
 pub use plan::{LinkPlan, LinkRelation, PlannedLink};
 pub use record::{CapacityError, RecordVersion, VmCapacity, VmRecord, VmStatus};
 pub use roster::{KnownVm, Roster, RosterTiming};
 pub use totals::{
-    ServerTag, WorkEntry, WorkOrigin, WorkTaken, WorkTold, WorkTotals, WorkView, WorkWord,
+    ReceivedWork, ServerTag, WorkCursor, WorkEntry, WorkOrigin, WorkTotals, WorkUpdate, WorkView,
 };
-pub use word::{RosterWord, WordTold};
+pub use word::{RosterCursor, RosterUpdate};
--- a/crates/overlay/src/node.rs
+++ b/crates/overlay/src/node.rs
@@ -6,12 +6,12 @@
 use onyxfall_policy::Moment;
 use onyxfall_types::VmName;
 
-use crate::evidence::WordScope;
+use crate::evidence::UpdateScope;
 use crate::plan::{LinkPlan, LinkRelation};
 use crate::record::{RecordVersion, VmRecord};
 use crate::roster::{Roster, RosterTiming};
-use crate::totals::{WorkOrigin, WorkTaken, WorkTold, WorkTotals, WorkView, WorkWord};
-use crate::word::{RosterWord, WordTold};
+use crate::totals::{ReceivedWork, WorkCursor, WorkOrigin, WorkTotals, WorkUpdate, WorkView};
+use crate::word::{RosterCursor, RosterUpdate};
 
 /// Time in which a new aggregator's sums may lack members: three reports of each.
 const WARM_AFTER: Duration = Duration::from_millis(300);
@@ -26,9 +26,9 @@
     /// What the sender says of itself, if that is news on the link.
     pub record: Option<VmRecord>,
     /// Which VMs live, if that is news on the link.
-    pub word: Option<RosterWord>,
+    pub word: Option<RosterUpdate>,
     /// Work at servers, if this relation tells it.
-    pub work: Option<WorkWord>,
+    pub work: Option<WorkUpdate>,
     /// Whether the sums are those of all members; false for a while where the sender
     /// has just become an aggregator.
     pub is_warm: bool,
@@ -39,8 +39,8 @@
 pub struct LinkState {
     relation: Option<LinkRelation>,
     record: Option<RecordVersion>,
-    word: WordTold,
-    work: WorkTold,
+    word: RosterCursor,
+    work: WorkCursor,
 }
 
 /// A VM's end of the overlay.
@@ -125,7 +125,7 @@
     ) -> OverlayUpdate {
         if link.relation != Some(relation) {
             link.relation = Some(relation);
-            link.work = WorkTold::default();
+            link.work = WorkCursor::default();
         }
         let own = self.roster.own();
         let is_told = link.record == Some(own.version);
@@ -141,23 +141,23 @@
     }
 
     /// Whether there is work to tell in a relation that was not told on a link.
-    pub fn has_news(&self, relation: LinkRelation, link: &LinkState) -> bool {
+    pub fn has_changes(&self, relation: LinkRelation, link: &LinkState) -> bool {
         match relation {
             LinkRelation::Report => self.totals.has_own_news(link.work),
-            LinkRelation::Digest => self.totals.has_news(link.work),
+            LinkRelation::Digest => self.totals.has_changes(link.work),
             _ => true,
         }
     }
 
-    fn word(&self, relation: LinkRelation, link: &mut LinkState) -> Option<RosterWord> {
+    fn word(&self, relation: LinkRelation, link: &mut LinkState) -> Option<RosterUpdate> {
         match relation.scope()? {
-            WordScope::Hint => self.roster.tell_aggregators(&mut link.word),
+            UpdateScope::Hint => self.roster.tell_aggregators(&mut link.word),
             scope => self.roster.tell(scope, &mut link.word),
         }
     }
 
     /// Takes a message.
-    pub fn take(&mut self, now: Moment, from: &VmName, update: &OverlayUpdate) -> WorkTaken {
+    pub fn take(&mut self, now: Moment, from: &VmName, update: &OverlayUpdate) -> ReceivedWork {
         match &update.record {
             Some(record) if record.name == *from => self.roster.hear(now, record),
             _ => self.roster.hear_again(now, from),
@@ -172,8 +172,8 @@
         taken
     }
 
-    fn take_work(&mut self, now: Moment, from: &VmName, update: &OverlayUpdate) -> WorkTaken {
-        let none = WorkWord::default();
+    fn take_work(&mut self, now: Moment, from: &VmName, update: &OverlayUpdate) -> ReceivedWork {
+        let none = WorkUpdate::default();
         let work = update.work.as_ref().unwrap_or(&none);
         match update.relation {
             LinkRelation::Report => {
@@ -190,12 +190,12 @@
             LinkRelation::Standby => {
                 self.totals.remove(from, WorkOrigin::Member);
                 self.totals.remove(from, WorkOrigin::Partial);
-                WorkTaken::default()
+                ReceivedWork::default()
             }
             LinkRelation::Seek
             | LinkRelation::Region
             | LinkRelation::StandbyDigest
-            | LinkRelation::Referral => WorkTaken::default(),
+            | LinkRelation::Referral => ReceivedWork::default(),
         }
     }
 
--- a/crates/overlay/src/plan.rs
+++ b/crates/overlay/src/plan.rs
@@ -6,7 +6,7 @@
 
 use onyxfall_types::VmName;
 
-use crate::evidence::WordScope;
+use crate::evidence::UpdateScope;
 use crate::record::VmRecord;
 use crate::roster::Roster;
 
@@ -88,13 +88,13 @@
     }
 
     /// Scope of the word that its messages carry, if any.
-    pub const fn scope(self) -> Option<WordScope> {
+    pub const fn scope(self) -> Option<UpdateScope> {
         match self {
             Self::Report | Self::Standby | Self::Seek => None,
-            Self::Partial => Some(WordScope::Own),
-            Self::Region => Some(WordScope::Region),
-            Self::Digest | Self::StandbyDigest => Some(WordScope::Fleet),
-            Self::Referral => Some(WordScope::Hint),
+            Self::Partial => Some(UpdateScope::Own),
+            Self::Region => Some(UpdateScope::Region),
+            Self::Digest | Self::StandbyDigest => Some(UpdateScope::Fleet),
+            Self::Referral => Some(UpdateScope::Hint),
         }
     }
 
--- a/crates/overlay/src/roster.rs
+++ b/crates/overlay/src/roster.rs
@@ -12,20 +12,20 @@
 use onyxfall_policy::Moment;
 use onyxfall_types::VmName;
 
-use crate::evidence::{Evidence, WordScope};
+use crate::evidence::{Evidence, UpdateScope};
 use crate::levels::aggregator_order;
 use crate::record::{VmRecord, VmStatus};
-use crate::word::RosterWord;
+use crate::word::RosterUpdate;
 
 /// When silence counts.
 #[derive(Clone, Copy, Debug)]
 pub struct RosterTiming {
     /// Silence after which a VM is not taken for alive, and an aggregator's word counts
     /// no longer.
-    pub silent_after: Duration,
+    pub unresponsive_after: Duration,
     /// Age up to which an aggregator's word on the whole fleet counts: longer, so that
     /// its members still know each other when it has died, and find the next one.
-    pub fleet_word_life: Duration,
+    pub fleet_update_lifetime: Duration,
     /// Silence after which a VM is forgotten. Until then it counts where limits are
     /// shared, and is looked for.
     pub forget_after: Duration,
@@ -79,10 +79,10 @@
 
 impl HeardWord {
     /// Whether it counts.
-    fn is_fresh(&self, now: Moment, scope: WordScope, timing: RosterTiming) -> bool {
+    fn is_fresh(&self, now: Moment, scope: UpdateScope, timing: RosterTiming) -> bool {
         let life = match scope {
-            WordScope::Fleet if !self.is_ended => timing.fleet_word_life,
-            _ => timing.silent_after,
+            UpdateScope::Fleet if !self.is_ended => timing.fleet_update_lifetime,
+            _ => timing.unresponsive_after,
         };
         now - self.heard < life
     }
@@ -95,7 +95,7 @@
     own_order: u64,
     timing: RosterTiming,
     vms: BTreeMap<VmName, KnownVm>,
-    words: BTreeMap<(VmName, WordScope), HeardWord>,
+    words: BTreeMap<(VmName, UpdateScope), HeardWord>,
     /// Grows with each change of a record or of evidence.
     changes: u64,
     /// VMs that have come to life or fallen silent since this was last asked for.
@@ -157,7 +157,7 @@
     }
 
     /// VMs that have come to life or fallen silent since this was last asked.
-    pub fn take_news(&mut self) -> Vec<VmName> {
+    pub fn take_changes(&mut self) -> Vec<VmName> {
         std::mem::take(&mut self.news)
     }
 
@@ -182,7 +182,7 @@
 
     /// Notes that a VM stands by its last word of a scope; false if there is none. Its
     /// words of other scopes grow old: it may have told them on a link that is gone.
-    pub fn hear_word_again(&mut self, now: Moment, from: &VmName, scope: WordScope) -> bool {
+    pub fn hear_word_again(&mut self, now: Moment, from: &VmName, scope: UpdateScope) -> bool {
         let Some(word) = self.words.get_mut(&(from.clone(), scope)) else {
             return false;
         };
@@ -210,13 +210,13 @@
             }
         }
         for ((teller, scope), word) in &mut self.words {
-            word.is_ended |= *scope == WordScope::Fleet && !names.contains(&teller);
+            word.is_ended |= *scope == UpdateScope::Fleet && !names.contains(&teller);
         }
     }
 
     /// Takes a word of another VM on who lives; false if it follows one that is not
     /// known here, so that the whole must be told again.
-    pub fn take_word(&mut self, now: Moment, from: &VmName, word: &RosterWord) -> bool {
+    pub fn take_word(&mut self, now: Moment, from: &VmName, word: &RosterUpdate) -> bool {
         let Some(teller) = self.vms.get(from) else {
             return false;
         };
@@ -260,7 +260,7 @@
     }
 
     /// Forgets a VM's word of a scope.
-    pub fn drop_word(&mut self, now: Moment, from: &VmName, scope: WordScope) {
+    pub fn drop_word(&mut self, now: Moment, from: &VmName, scope: UpdateScope) {
         if let Some(word) = self.words.remove(&(from.clone(), scope)) {
             for name in &word.names {
                 self.weigh(now, name);
@@ -280,10 +280,12 @@
             word.was_fresh = is_fresh;
         }
         for (name, vm) in &mut self.vms {
-            let is_silent = vm.heard.is_none_or(|at| now - at >= timing.silent_after);
+            let is_silent = vm
+                .heard
+                .is_none_or(|at| now - at >= timing.unresponsive_after);
             let is_missed = vm
                 .expected
-                .is_some_and(|since| now - since >= timing.silent_after);
+                .is_some_and(|since| now - since >= timing.unresponsive_after);
             if is_silent && is_missed {
                 vm.muted = Some(now);
             }
@@ -306,7 +308,7 @@
     }
 
     /// VMs that a word of a scope names, this one included.
-    pub(crate) fn named_in(&self, scope: WordScope) -> impl Iterator<Item = &VmRecord> {
+    pub(crate) fn named_in(&self, scope: UpdateScope) -> impl Iterator<Item = &VmRecord> {
         let least = scope.least_evidence();
         let others = self
             .vms
@@ -361,11 +363,11 @@
         let Some(known) = self.vms.get(name) else {
             return;
         };
-        let is_heard = |at: Moment| now - at < timing.silent_after;
+        let is_heard = |at: Moment| now - at < timing.unresponsive_after;
         let evidence = if known.heard.is_some_and(is_heard) {
             Evidence::Direct
         } else {
-            let counts = |scope: WordScope, word: &HeardWord| {
+            let counts = |scope: UpdateScope, word: &HeardWord| {
                 word.is_fresh(now, scope, timing)
                     && known.muted.is_none_or(|muted| word.heard > muted)
             };
--- a/crates/overlay/src/totals.rs
+++ b/crates/overlay/src/totals.rs
@@ -57,7 +57,7 @@
 
 /// Work at servers: whole at first, then what has changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct WorkWord {
+pub struct WorkUpdate {
     /// Whether servers that are not named have none.
     pub is_whole: bool,
     /// The servers whose work is told.
@@ -88,7 +88,7 @@
 
 /// What became of a message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct WorkTaken {
+pub struct ReceivedWork {
     /// Absurd entries that were left out.
     pub absurd: usize,
     /// It follows a message that is not known here, so that the whole must be told
@@ -109,9 +109,9 @@
 
 /// What was told in one direction of a link: the last change that was looked at.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct WorkTold(Option<u64>);
+pub struct WorkCursor(Option<u64>);
 
-impl WorkTold {
+impl WorkCursor {
     /// Whether a change was looked at.
     fn has_seen(self, change: u64) -> bool {
         self.0.is_some_and(|seen| seen >= change)
@@ -183,11 +183,11 @@
         now: Moment,
         from: &VmName,
         origin: WorkOrigin,
-        word: &WorkWord,
-    ) -> WorkTaken {
+        word: &WorkUpdate,
+    ) -> ReceivedWork {
         let key = (from.clone(), origin);
         if !word.is_whole && !self.origins.contains_key(&key) {
-            return WorkTaken {
+            return ReceivedWork {
                 absurd: 0,
                 is_cut: true,
             };
@@ -226,7 +226,7 @@
                 self.change(tag, origin, before, after);
             }
         }
-        WorkTaken {
+        ReceivedWork {
             absurd,
             is_cut: false,
         }
@@ -240,8 +240,8 @@
         now: Moment,
         from: &VmName,
         is_warm: bool,
-        word: &WorkWord,
-    ) -> WorkTaken {
+        word: &WorkUpdate,
+    ) -> ReceivedWork {
         let taken = self.take(now, from, WorkOrigin::Digest, word);
         let mut others = self.counted_digests();
         others.retain(|(name, _)| name != from);
@@ -321,7 +321,7 @@
     }
 
     /// Servers at which other VMs' work has changed since this was last asked.
-    pub fn take_news(&mut self) -> Vec<ServerTag> {
+    pub fn take_changes(&mut self) -> Vec<ServerTag> {
         let mut news = std::mem::take(&mut self.news);
         news.sort_unstable();
         news.dedup();
@@ -329,7 +329,7 @@
     }
 
     /// What to tell on a link, after what was told before.
-    pub fn tell(&self, view: WorkView<'_>, told: &mut WorkTold) -> WorkWord {
+    pub fn tell(&self, view: WorkView<'_>, told: &mut WorkCursor) -> WorkUpdate {
         let before = told.0;
         told.0 = Some(self.clock);
         let but = match view {
@@ -359,19 +359,19 @@
                 });
             }
         }
-        WorkWord {
+        WorkUpdate {
             is_whole: before.is_none(),
             entries,
         }
     }
 
     /// Whether this VM's own work has changed since it was told on a link.
-    pub(crate) fn has_own_news(&self, told: WorkTold) -> bool {
+    pub(crate) fn has_own_news(&self, told: WorkCursor) -> bool {
         !told.has_seen(self.own_clock)
     }
 
     /// Whether anybody's work has.
-    pub(crate) fn has_news(&self, told: WorkTold) -> bool {
+    pub(crate) fn has_changes(&self, told: WorkCursor) -> bool {
         !told.has_seen(self.clock)
     }
 
--- a/crates/overlay/src/word.rs
+++ b/crates/overlay/src/word.rs
@@ -4,15 +4,15 @@
 
 use onyxfall_types::VmName;
 
-use crate::evidence::WordScope;
+use crate::evidence::UpdateScope;
 use crate::record::{RecordVersion, VmRecord};
 use crate::roster::Roster;
 
 /// Names VMs that live, and those that the teller no longer vouches for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RosterWord {
+pub struct RosterUpdate {
     /// Whom it names.
-    pub scope: WordScope,
+    pub scope: UpdateScope,
     /// Whether it replaces every earlier word of this scope on the link.
     pub is_whole: bool,
     /// VMs that are new, or whose record has changed.
@@ -23,16 +23,16 @@
 
 /// What was told in one direction of a link.
 #[derive(Clone, Debug, Default)]
-pub struct WordTold {
+pub struct RosterCursor {
     /// The scope, and the roster's changes that were looked at, if anything was told.
-    seen: Option<(WordScope, u64)>,
+    seen: Option<(UpdateScope, u64)>,
     versions: BTreeMap<VmName, RecordVersion>,
 }
 
 impl Roster {
     /// What to tell in a scope on a link, after what was told before; none if nothing
     /// has changed.
-    pub(crate) fn tell(&self, scope: WordScope, told: &mut WordTold) -> Option<RosterWord> {
+    pub(crate) fn tell(&self, scope: UpdateScope, told: &mut RosterCursor) -> Option<RosterUpdate> {
         if told.seen == Some((scope, self.changes())) {
             return None;
         }
@@ -40,23 +40,23 @@
     }
 
     /// Where the aggregators of every region are.
-    pub(crate) fn tell_aggregators(&self, told: &mut WordTold) -> Option<RosterWord> {
+    pub(crate) fn tell_aggregators(&self, told: &mut RosterCursor) -> Option<RosterUpdate> {
         let levels = self.levels();
         let chosen: BTreeSet<&VmName> = levels
             .regions()
             .flat_map(|(_, vms)| vms)
             .map(|vm| &vm.name)
             .collect();
-        self.tell_chosen(WordScope::Hint, told, |vm| chosen.contains(&vm.name))
+        self.tell_chosen(UpdateScope::Hint, told, |vm| chosen.contains(&vm.name))
     }
 
     /// The same, of VMs that `chooses` takes.
     fn tell_chosen(
         &self,
-        scope: WordScope,
-        told: &mut WordTold,
+        scope: UpdateScope,
+        told: &mut RosterCursor,
         chooses: impl Fn(&VmRecord) -> bool,
-    ) -> Option<RosterWord> {
+    ) -> Option<RosterUpdate> {
         let is_whole = told.seen.is_none_or(|(before, _)| before != scope);
         if is_whole {
             told.versions.clear();
@@ -84,7 +84,7 @@
             }
         }
         let is_news = is_whole || !records.is_empty() || !gone.is_empty();
-        is_news.then_some(RosterWord {
+        is_news.then_some(RosterUpdate {
             scope,
             is_whole,
             records,
--- a/crates/overlay/tests/roster.rs
+++ b/crates/overlay/tests/roster.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use onyxfall_overlay::{
-    Evidence, RecordVersion, Roster, RosterTiming, RosterWord, VmCapacity, VmRecord, VmStatus,
-    WordScope,
+    Evidence, RecordVersion, Roster, RosterTiming, RosterUpdate, UpdateScope, VmCapacity, VmRecord,
+    VmStatus,
 };
 use onyxfall_policy::Moment;
 use onyxfall_types::{Incarnation, VmName};
@@ -36,15 +36,15 @@
 
 fn roster() -> Roster {
     let timing = RosterTiming {
-        silent_after: Duration::from_millis(SILENT_MS),
-        fleet_word_life: Duration::from_millis(FLEET_MS),
+        unresponsive_after: Duration::from_millis(SILENT_MS),
+        fleet_update_lifetime: Duration::from_millis(FLEET_MS),
         forget_after: Duration::from_mins(2),
     };
     Roster::new(record(0, 0, 1, 0), timing)
 }
 
-fn word(scope: WordScope, is_whole: bool, records: Vec<VmRecord>) -> RosterWord {
-    RosterWord {
+fn word(scope: UpdateScope, is_whole: bool, records: Vec<VmRecord>) -> RosterUpdate {
+    RosterUpdate {
         scope,
         is_whole,
         records,
@@ -59,7 +59,7 @@
 
 struct WordCase {
     name: &'static str,
-    scope: WordScope,
+    scope: UpdateScope,
     /// Regions of the teller and of the VM that it names.
     teller: usize,
     named: usize,
@@ -71,35 +71,35 @@
     let cases = [
         WordCase {
             name: "a neighbour hears a neighbour",
-            scope: WordScope::Own,
+            scope: UpdateScope::Own,
             teller: 0,
             named: 0,
             expected: Evidence::Neighbour,
         },
         WordCase {
             name: "a neighbour cannot vouch for another region",
-            scope: WordScope::Own,
+            scope: UpdateScope::Own,
             teller: 0,
             named: 1,
             expected: Evidence::None,
         },
         WordCase {
             name: "a region tells of its own",
-            scope: WordScope::Region,
+            scope: UpdateScope::Region,
             teller: 1,
             named: 1,
             expected: Evidence::Region,
         },
         WordCase {
             name: "another region cannot vouch for this one",
-            scope: WordScope::Region,
+            scope: UpdateScope::Region,
             teller: 1,
             named: 0,
             expected: Evidence::None,
         },
         WordCase {
             name: "an aggregator tells its members of all",
-            scope: WordScope::Fleet,
+            scope: UpdateScope::Fleet,
             teller: 0,
             named: 1,
             expected: Evidence::Fleet,
@@ -124,10 +124,10 @@
     roster.take_word(
         at(0),
         &teller.name,
-        &word(WordScope::Fleet, true, vec![named]),
+        &word(UpdateScope::Fleet, true, vec![named]),
     );
     assert_eq!(evidence(&roster, 2), Evidence::Fleet);
-    for scope in [WordScope::Own, WordScope::Region, WordScope::Fleet] {
+    for scope in [UpdateScope::Own, UpdateScope::Region, UpdateScope::Fleet] {
         assert!(scope.least_evidence() > Evidence::Fleet, "{scope:?}");
     }
 }
@@ -141,11 +141,11 @@
     roster.take_word(
         at(0),
         &teller.name,
-        &word(WordScope::Own, true, vec![named]),
+        &word(UpdateScope::Own, true, vec![named]),
     );
     roster.tick(at(SILENT_MS));
     assert_eq!(evidence(&roster, 2), Evidence::None);
-    assert!(roster.hear_word_again(at(5000), &teller.name, WordScope::Own));
+    assert!(roster.hear_word_again(at(5000), &teller.name, UpdateScope::Own));
     assert_eq!(evidence(&roster, 2), Evidence::Neighbour);
 }
 
@@ -154,7 +154,7 @@
     let mut roster = roster();
     let teller = record(1, 0, 1, 0);
     roster.hear(at(0), &teller);
-    let news = word(WordScope::Own, false, vec![record(2, 0, 1, 0)]);
+    let news = word(UpdateScope::Own, false, vec![record(2, 0, 1, 0)]);
     assert!(!roster.take_word(at(0), &teller.name, &news));
     assert_eq!(evidence(&roster, 2), Evidence::None);
 }
@@ -223,7 +223,7 @@
                     last_word[vm] = Some(now);
                 }
                 Step::Word(teller, scope, is_whole, named) => {
-                    let scope = WordScope::ALL[scope];
+                    let scope = UpdateScope::ALL[scope];
                     let name: VmName = format!("vm{teller}").parse().unwrap();
                     let records = named
                         .iter()
@@ -238,9 +238,9 @@
                 }
                 Step::Gone(teller, vm) => {
                     let name: VmName = format!("vm{teller}").parse().unwrap();
-                    let gone = RosterWord {
+                    let gone = RosterUpdate {
                         gone: vec![format!("vm{vm}").parse().unwrap()],
-                        ..word(WordScope::Own, false, Vec::new())
+                        ..word(UpdateScope::Own, false, Vec::new())
                     };
                     if roster.take_word(at(now), &name, &gone) {
                         last_word.fill(Some(now));
--- a/crates/overlay/tests/support/mod.rs
+++ b/crates/overlay/tests/support/mod.rs
@@ -154,8 +154,8 @@
 
     fn fresh(&self, index: usize) -> OverlayNode {
         let timing = RosterTiming {
-            silent_after: SILENT_AFTER,
-            fleet_word_life: FLEET_WORD_LIFE,
+            unresponsive_after: SILENT_AFTER,
+            fleet_update_lifetime: FLEET_WORD_LIFE,
             forget_after: FORGET_AFTER,
         };
         let stride = self.records.len() / SEEDS.min(self.records.len());
@@ -347,8 +347,10 @@
                 continue;
             };
             let node = &mut self.nodes[aggregator];
-            let has_news = node.has_news(LinkRelation::Digest, &link.backward);
-            let interval = node.plan(self.now).interval(LinkRelation::Digest, has_news);
+            let has_changes = node.has_changes(LinkRelation::Digest, &link.backward);
+            let interval = node
+                .plan(self.now)
+                .interval(LinkRelation::Digest, has_changes);
             if self.now >= told + interval {
                 self.tell_digest(member, aggregator);
             }
@@ -424,8 +426,8 @@
                     ..Link::default()
                 }
             });
-            let has_news = self.nodes[index].has_news(planned.relation, &link.forward);
-            let interval = plan.interval(planned.relation, has_news);
+            let has_changes = self.nodes[index].has_changes(planned.relation, &link.forward);
+            let interval = plan.interval(planned.relation, has_changes);
             if link.told.is_some_and(|told| now < told + interval) {
                 continue;
             }
--- a/crates/overlay/tests/totals.rs
+++ b/crates/overlay/tests/totals.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use onyxfall_fleet::{UnreadTokens, WorkShare};
+use onyxfall_fleet::{PrefillTokens, WorkShare};
 use onyxfall_overlay::{
-    ServerTag, WorkEntry, WorkOrigin, WorkTaken, WorkTold, WorkTotals, WorkView, WorkWord,
+    ReceivedWork, ServerTag, WorkCursor, WorkEntry, WorkOrigin, WorkTotals, WorkUpdate, WorkView,
 };
 use onyxfall_policy::Moment;
 use onyxfall_types::VmName;
@@ -22,7 +22,7 @@
 fn share(requests: u32) -> WorkShare {
     WorkShare {
         requests,
-        unread: UnreadTokens::of(3, u64::from(requests) * 100),
+        unread: PrefillTokens::of(3, u64::from(requests) * 100),
         memory: u64::from(requests) * 1000,
         flow: 0,
         ..WorkShare::default()
@@ -36,8 +36,8 @@
     }
 }
 
-fn word(is_whole: bool, entries: &[(u32, u32)]) -> WorkWord {
-    WorkWord {
+fn word(is_whole: bool, entries: &[(u32, u32)]) -> WorkUpdate {
+    WorkUpdate {
         is_whole,
         entries: entries.iter().map(|(s, r)| entry(*s, *r)).collect(),
     }
@@ -46,7 +46,7 @@
 /// Requests at each server as a word that follows `told` gives them.
 #[derive(Default)]
 struct Reader {
-    told: WorkTold,
+    told: WorkCursor,
     known: BTreeMap<ServerTag, WorkShare>,
 }
 
@@ -164,7 +164,7 @@
         AbsurdCase {
             name: "unread tokens",
             share: WorkShare {
-                unread: UnreadTokens::of(0, u64::MAX),
+                unread: PrefillTokens::of(0, u64::MAX),
                 ..WorkShare::default()
             },
         },
@@ -186,7 +186,7 @@
     for case in cases {
         let mut totals = WorkTotals::default();
         totals.take(at(0), &vm(1), WorkOrigin::Partial, &word(true, &[(0, 2)]));
-        let forged = WorkWord {
+        let forged = WorkUpdate {
             is_whole: false,
             entries: vec![WorkEntry {
                 server: ServerTag(0),
@@ -203,7 +203,7 @@
 fn a_word_that_follows_an_unknown_one_is_cut() {
     let mut totals = WorkTotals::default();
     let taken = totals.take(at(0), &vm(1), WorkOrigin::Member, &word(false, &[(0, 2)]));
-    let expected = WorkTaken {
+    let expected = ReceivedWork {
         absurd: 0,
         is_cut: true,
     };
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -123,7 +123,7 @@
             .timeout_global(Some(self.settings.timeout))
             .build()
             .header("content-type", "application/json");
-        read_answer(call, class, request.send(body.to_string()))
+        classify_response(call, class, request.send(body.to_string()))
     }
 
     fn fetch<T: DeserializeOwned>(
@@ -139,7 +139,7 @@
             .config()
             .timeout_global(Some(self.settings.timeout))
             .build();
-        read_answer(call, CallClass::Read, request.call())
+        classify_response(call, CallClass::Read, request.call())
     }
 
     fn open_watch(&self, prefix: &str) -> Result<ureq::Body, PlatformError> {
@@ -167,7 +167,7 @@
     }
 }
 
-fn read_answer<T: DeserializeOwned>(
+fn classify_response<T: DeserializeOwned>(
     call: &'static str,
     class: CallClass,
     answer: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -71,7 +71,7 @@
             grant: 1_000_000,
         };
         let models = bundle.models.keys().map(digest).collect();
-        router.hear_center(
+        router.receive_center(
             Moment::ZERO,
             &CenterDigest {
                 center,
@@ -97,7 +97,7 @@
 }
 
 fn end(router: &mut RequestRouter, step: &RouteStep) {
-    if let RouteStep::Run { attempt, .. } | RouteStep::Away { attempt, .. } = step {
+    if let RouteStep::Run { attempt, .. } | RouteStep::Forward { attempt, .. } = step {
         let elapsed = Duration::from_millis(500);
         let outcome = AttemptOutcome::Success;
         router.end(
--- a/crates/policy/src/away.rs
+++ b/crates/policy/src/away.rs
@@ -23,7 +23,7 @@
 
 /// A data centre to send to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AwayChoice {
+pub struct RemoteChoice {
     /// The data centre.
     pub center: CenterId,
     /// Expected time to completion, round trip included.
@@ -34,13 +34,13 @@
 
 /// Whether requests of a model are being sent away; counts its changes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct AwayMode {
+pub struct RemoteMode {
     sending: bool,
     changed: Option<Moment>,
     switches: u64,
 }
 
-impl AwayMode {
+impl RemoteMode {
     /// Whether an option with this gain (seconds) is taken.
     pub fn takes(&mut self, now: Moment, gain: f64) -> bool {
         let margin = if self.sending {
@@ -70,7 +70,7 @@
     }
 }
 
-pub(crate) struct AwayContext<'a> {
+pub(crate) struct RemoteContext<'a> {
     pub(crate) now: Moment,
     pub(crate) bundle: &'a ServiceBundle,
     pub(crate) centers: &'a CenterTable,
@@ -83,9 +83,9 @@
     pub(crate) remaining: Duration,
 }
 
-impl AwayContext<'_> {
+impl RemoteContext<'_> {
     /// The best data centre that has a grant left and can meet the deadline.
-    pub(crate) fn choose(&self) -> Option<AwayChoice> {
+    pub(crate) fn choose(&self) -> Option<RemoteChoice> {
         self.centers
             .iter()
             .filter(|(center, _)| *center != self.own_center)
@@ -97,13 +97,13 @@
             .min_by(|a, b| a.score.total_cmp(&b.score))
     }
 
-    fn option(&self, center: CenterId) -> Option<AwayChoice> {
+    fn option(&self, center: CenterId) -> Option<RemoteChoice> {
         let view = self.centers.view(center);
         let wait = view.model(self.now, self.model)?.wait;
         let expected = view.rtt() + wait + self.service;
         let score = objective_score(&self.bundle.objective, expected, self.cold_work)
             + self.leave_price(center);
-        Some(AwayChoice {
+        Some(RemoteChoice {
             center,
             expected,
             score,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -30,7 +30,7 @@
 mod stop;
 mod ticket;
 
-pub use away::{AwayChoice, AwayMode};
+pub use away::{RemoteChoice, RemoteMode};
 pub use bucket::TokenBucket;
 pub use center::{CenterDigest, CenterTable, CenterView, ModelDigest};
 pub use choose::{ServerChoice, rendezvous_rank};
@@ -38,17 +38,17 @@
 pub use drain::{DrainSource, DrainTable};
 pub use estimate::ServiceEstimate;
 pub use limit::AdaptiveLimit;
-pub use membership::{MemberBeat, MemberState, MemberTable, MemberTiming, VmMember};
+pub use membership::{MemberHeartbeat, MemberState, MemberTable, MemberTiming, VmMember};
 pub use moment::Moment;
 pub use prefix::{CacheEvent, PrefixKey, PrefixTable};
 pub use queue::{QueuedRequest, WaitId, WeightedQueue};
 pub use residency::{RegionSet, allowed_regions};
-pub use rest::ServerRest;
+pub use rest::ServerBackoff;
 pub use retry::{BackoffCurve, RetryBudget};
 pub use router::{
     ArrivalOrigin, AttemptEnd, AttemptOutcome, PolicySettings, RequestArrival, RequestRouter,
     RouteCounts, RouteStep, RoutingPolicy,
 };
 pub use server::{LoadReport, ServerState};
-pub use stop::{StopPhase, StopPlan};
+pub use stop::{ShutdownPhase, ShutdownPlan};
 pub use ticket::{TicketError, TicketId, TicketLedger, TicketOutcome, TicketState};
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -34,7 +34,7 @@
 
 /// What a heartbeat says of a VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MemberBeat {
+pub struct MemberHeartbeat {
     /// Name of the VM.
     pub name: VmName,
     /// Its data centre.
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VmMember {
     /// What its last heartbeat said.
-    pub beat: MemberBeat,
+    pub beat: MemberHeartbeat,
     /// Its state.
     pub state: MemberState,
     /// When it was last heard of.
@@ -86,14 +86,14 @@
 /// The members of the system, this VM included.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
-    own: MemberBeat,
+    own: MemberHeartbeat,
     timing: MemberTiming,
     members: BTreeMap<VmName, VmMember>,
 }
 
 impl MemberTable {
     /// A table that knows only this VM.
-    pub fn new(own: MemberBeat, timing: MemberTiming) -> Self {
+    pub fn new(own: MemberHeartbeat, timing: MemberTiming) -> Self {
         Self {
             own,
             timing,
@@ -102,7 +102,7 @@
     }
 
     /// What this VM's own heartbeat says.
-    pub fn own(&self) -> &MemberBeat {
+    pub fn own(&self) -> &MemberHeartbeat {
         &self.own
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Takes a heartbeat; returns whether it changed a state.
-    pub fn hear(&mut self, now: Moment, beat: &MemberBeat) -> bool {
+    pub fn hear(&mut self, now: Moment, beat: &MemberHeartbeat) -> bool {
         if beat.name == self.own.name {
             return self.hear_own(beat.incarnation);
         }
@@ -148,9 +148,9 @@
     }
 
     /// The serving members of a data centre, this VM included, by name.
-    pub fn serving_in<'a>(&'a self, center: &'a CenterName) -> Vec<&'a MemberBeat> {
+    pub fn serving_in<'a>(&'a self, center: &'a CenterName) -> Vec<&'a MemberHeartbeat> {
         let own = (self.own.center == *center && !self.own.leaving).then_some(&self.own);
-        let mut beats: Vec<&MemberBeat> = self
+        let mut beats: Vec<&MemberHeartbeat> = self
             .alive_in(center)
             .map(|member| &member.beat)
             .chain(own)
@@ -176,7 +176,7 @@
     }
 
     /// Takes word from another data centre that its members are as last told.
-    pub fn hear_center(&mut self, now: Moment, center: &CenterName) {
+    pub fn receive_center(&mut self, now: Moment, center: &CenterName) {
         let members = self
             .members
             .values_mut()
@@ -188,7 +188,7 @@
 
     /// Takes the whole list of another data centre's serving members; whoever
     /// is not in it has left or died, unless a later list names it again.
-    pub fn hear_members(&mut self, now: Moment, center: &CenterName, beats: &[MemberBeat]) {
+    pub fn receive_members(&mut self, now: Moment, center: &CenterName, beats: &[MemberHeartbeat]) {
         let listed = |name: &VmName| beats.iter().any(|beat| beat.name == *name);
         let members = self
             .members
@@ -206,7 +206,7 @@
     /// it is unknown, or was not heard of for long and is of another region: VMs
     /// of other regions need not be heard directly, so that the word of others is
     /// all that is known of them.
-    pub fn hint(&mut self, now: Moment, beat: &MemberBeat) {
+    pub fn hint(&mut self, now: Moment, beat: &MemberHeartbeat) {
         if beat.name == self.own.name {
             return;
         }
@@ -270,9 +270,9 @@
     /// This VM's rank among the serving members of its data centre, and their number.
     ///
     /// ```
-    /// use onyxfall_policy::{MemberBeat, MemberTable, MemberTiming};
+    /// use onyxfall_policy::{MemberHeartbeat, MemberTable, MemberTiming};
     /// use onyxfall_types::Incarnation;
-    /// let own = MemberBeat {
+    /// let own = MemberHeartbeat {
     ///     name: "vm-1".parse().unwrap(),
     ///     center: "c".parse().unwrap(),
     ///     region: "r".parse().unwrap(),
--- a/crates/policy/src/rest.rs
+++ b/crates/policy/src/rest.rs
@@ -21,10 +21,10 @@
 /// Rest of one life of a server.
 ///
 /// ```
-/// use onyxfall_policy::{Moment, ServerRest};
+/// use onyxfall_policy::{Moment, ServerBackoff};
 /// use std::time::Duration;
 /// let second = Duration::from_secs(1);
-/// let mut rest = ServerRest::default();
+/// let mut rest = ServerBackoff::default();
 /// rest.ask(Moment::ZERO, second);
 /// assert!(!rest.allows(Moment::ZERO));
 /// let end = Moment::ZERO + second;
@@ -35,7 +35,7 @@
 /// assert!(rest.allows(end));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ServerRest {
+pub struct ServerBackoff {
     /// End of the time that it wants; of several the latest.
     until: Moment,
     /// Whether it has taken nothing since.
@@ -44,7 +44,7 @@
     trial: Option<u64>,
 }
 
-impl ServerRest {
+impl ServerBackoff {
     /// Notes that the server wants nothing for `time` from now on. A time that ends before
     /// the present one shortens nothing: the server has asked for both.
     pub fn ask(&mut self, now: Moment, time: Duration) {
--- a/crates/policy/src/router/baseline.rs
+++ b/crates/policy/src/router/baseline.rs
@@ -33,7 +33,7 @@
         let server = permitted[self.rng.random_range(0..permitted.len())];
         let center = self.bundle.servers[server].center;
         if center != self.center {
-            return self.start_away(arrival, center);
+            return self.start_forward(arrival, center);
         }
         self.start_plain(now, arrival, server)
     }
--- a/crates/policy/src/router/capacity.rs
+++ b/crates/policy/src/router/capacity.rs
@@ -67,7 +67,7 @@
         let servers = self.pools[model].servers.iter();
         let servers = servers.map(|id| &self.servers[*id]);
         let ends = servers.filter(|server| !server.is_draining());
-        let end = ends.filter_map(|server| server.rest_end(now)).min()?;
+        let end = ends.filter_map(|server| server.backoff_end(now)).min()?;
         Some(end - now)
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// Counts a request that another data centre has under way here.
-    pub fn note_from_away(&mut self, center: CenterId, model: ModelId, started: bool) {
+    pub fn record_from_remote(&mut self, center: CenterId, model: ModelId, started: bool) {
         let count = self.pools[model].from_away.entry(center).or_default();
         *count = if started {
             *count + 1
--- a/crates/policy/src/router/decide.rs
+++ b/crates/policy/src/router/decide.rs
@@ -7,7 +7,7 @@
 
 use super::kinds::{ArrivalOrigin, RequestArrival, RouteStep, RoutingPolicy};
 use super::{AttemptTarget, OpenAttempt, RequestRouter, refusal};
-use crate::away::{AwayChoice, AwayContext, objective_score};
+use crate::away::{RemoteChoice, RemoteContext, objective_score};
 use crate::choose::{ChooseContext, ServerChoice};
 use crate::moment::Moment;
 use crate::queue::{QueuedRequest, WaitId};
@@ -29,13 +29,13 @@
         }
         let wait = self.local_wait(now, arrival.kind, arrival.deadline);
         let local = wait.map(|wait| wait + service);
-        let away = self.choose_away(now, &arrival);
-        if let Some(away) = self.prefer_away(now, model, local, away) {
-            return self.start_away(&arrival, away.center);
+        let away = self.choose_remote(now, &arrival);
+        if let Some(away) = self.prefer_remote(now, model, local, away) {
+            return self.start_forward(&arrival, away.center);
         }
         match (local, away) {
             (Some(local), _) if local <= remaining => self.enqueue(arrival, service),
-            (_, Some(away)) => self.start_away(&arrival, away.center),
+            (_, Some(away)) => self.start_forward(&arrival, away.center),
             (None, None) if service <= remaining && self.may_get_grant(now, &arrival) => {
                 self.enqueue(arrival, service)
             }
@@ -62,13 +62,13 @@
             .any(|(_, view)| view.model(now, kind.model).is_some())
     }
 
-    pub(super) fn prefer_away(
+    pub(super) fn prefer_remote(
         &mut self,
         now: Moment,
         model: ModelId,
         local: Option<Duration>,
-        away: Option<AwayChoice>,
-    ) -> Option<AwayChoice> {
+        away: Option<RemoteChoice>,
+    ) -> Option<RemoteChoice> {
         let away = away?;
         let Some(local) = local else {
             return Some(away);
@@ -124,7 +124,11 @@
         context.choose(&mut self.rng)
     }
 
-    pub(super) fn choose_away(&self, now: Moment, arrival: &RequestArrival) -> Option<AwayChoice> {
+    pub(super) fn choose_remote(
+        &self,
+        now: Moment,
+        arrival: &RequestArrival,
+    ) -> Option<RemoteChoice> {
         let kind = self.kind(arrival.kind);
         let barred = self.settings.routing != RoutingPolicy::Expected
             || arrival.origin == ArrivalOrigin::Peer
@@ -133,7 +137,7 @@
             return None;
         }
         let service = self.estimates[arrival.kind].get();
-        let context = AwayContext {
+        let context = RemoteContext {
             now,
             bundle: &self.bundle,
             centers: &self.centers,
@@ -178,7 +182,11 @@
         }
     }
 
-    pub(super) fn start_away(&mut self, arrival: &RequestArrival, center: CenterId) -> RouteStep {
+    pub(super) fn start_forward(
+        &mut self,
+        arrival: &RequestArrival,
+        center: CenterId,
+    ) -> RouteStep {
         debug_assert!(arrival.origin == ArrivalOrigin::Caller, "one hop only");
         debug_assert!(arrival.allowed.contains(self.bundle.centers[center].region));
         let attempt = self.next();
@@ -194,6 +202,6 @@
             },
         );
         self.counts.away += 1;
-        RouteStep::Away { attempt, center }
+        RouteStep::Forward { attempt, center }
     }
 }
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -24,7 +24,7 @@
     RouteStep, RoutingPolicy,
 };
 
-use crate::away::AwayMode;
+use crate::away::RemoteMode;
 use crate::bucket::TokenBucket;
 use crate::center::{CenterDigest, CenterTable};
 use crate::drain::DrainTable;
@@ -57,7 +57,7 @@
 struct ModelPool {
     servers: Vec<ServerId>,
     queue: WeightedQueue<RequestArrival>,
-    mode: AwayMode,
+    mode: RemoteMode,
     next_turn: usize,
     /// Priority whose requests may queue in servers, if kinds differ in it.
     top_priority: Option<u8>,
@@ -178,7 +178,7 @@
     }
 
     /// Forgets what another entry of the data centre told.
-    pub fn forget_peer(&mut self, peer: &VmName) {
+    pub fn evict_peer(&mut self, peer: &VmName) {
         for (_, pool) in self.pools.iter_mut() {
             pool.peer_work.remove(peer);
         }
@@ -302,10 +302,10 @@
     }
 
     /// Notes that the server of an attempt wants nothing from this VM for `time`.
-    pub fn note_rest(&mut self, now: Moment, attempt: u64, time: Duration) {
+    pub fn record_backoff(&mut self, now: Moment, attempt: u64, time: Duration) {
         let open = self.open.get(&attempt);
         if let Some(AttemptTarget::Server(server)) = open.map(|open| open.target) {
-            self.servers[server].note_rest(now, time);
+            self.servers[server].record_backoff(now, time);
         }
     }
 
@@ -325,7 +325,7 @@
     }
 
     /// Notes that a server has stopped reporting.
-    pub fn report_silent(&mut self, now: Moment, server: ServerId) {
+    pub fn report_unresponsive(&mut self, now: Moment, server: ServerId) {
         if self.servers.get(server).is_some() {
             self.servers[server].fall_silent(now);
         }
@@ -361,7 +361,7 @@
     }
 
     /// Takes another data centre's digest.
-    pub fn hear_center(&mut self, now: Moment, digest: &CenterDigest) {
+    pub fn receive_center(&mut self, now: Moment, digest: &CenterDigest) {
         self.centers.hear(now, digest);
     }
 
@@ -432,7 +432,7 @@
     ModelPool {
         servers,
         queue,
-        mode: AwayMode::default(),
+        mode: RemoteMode::default(),
         next_turn: 0,
         top_priority: top_priority(bundle, model),
         from_away: BTreeMap::new(),
--- a/crates/policy/src/router/wake.rs
+++ b/crates/policy/src/router/wake.rs
@@ -85,9 +85,12 @@
             let local = self
                 .local_wait(now, request.kind, request.deadline)
                 .map(|wait| wait + request.service);
-            let away = self.choose_away(now, &request.payload);
-            if let Some(away) = self.prefer_away(now, model, local, away) {
-                steps.push((request.id, self.start_away(&request.payload, away.center)));
+            let away = self.choose_remote(now, &request.payload);
+            if let Some(away) = self.prefer_remote(now, model, local, away) {
+                steps.push((
+                    request.id,
+                    self.start_forward(&request.payload, away.center),
+                ));
                 continue;
             }
             let back = self.pools[model].queue.push(request);
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -12,7 +12,7 @@
 use crate::circuit::CircuitBreaker;
 use crate::limit::AdaptiveLimit;
 use crate::moment::Moment;
-use crate::rest::ServerRest;
+use crate::rest::ServerBackoff;
 
 const REPORT_FRESH: Duration = Duration::from_secs(2);
 const REPORT_FADE: Duration = Duration::from_secs(5);
@@ -63,7 +63,7 @@
     draining: bool,
     limit: AdaptiveLimit,
     circuit: CircuitBreaker,
-    rest: ServerRest,
+    rest: ServerBackoff,
     slowness: f64,
     slowness_at: Moment,
     ramp_from: Option<Moment>,
@@ -80,7 +80,7 @@
             draining: false,
             limit: AdaptiveLimit::new(slots),
             circuit: CircuitBreaker::new(),
-            rest: ServerRest::default(),
+            rest: ServerBackoff::default(),
             slowness: 1.0,
             slowness_at: Moment::ZERO,
             ramp_from: None,
@@ -144,12 +144,12 @@
     }
 
     /// Notes that it wants nothing from this VM for `time`.
-    pub fn note_rest(&mut self, now: Moment, time: Duration) {
+    pub fn record_backoff(&mut self, now: Moment, time: Duration) {
         self.rest.ask(now, time);
     }
 
     /// End of the rest that it wants; none if that is over.
-    pub fn rest_end(&self, now: Moment) -> Option<Moment> {
+    pub fn backoff_end(&self, now: Moment) -> Option<Moment> {
         self.rest.end(now)
     }
 
@@ -228,7 +228,7 @@
         let reborn = report.incarnation > self.incarnation && self.incarnation.get() != 0;
         if reborn {
             self.circuit = CircuitBreaker::new();
-            self.rest = ServerRest::default();
+            self.rest = ServerBackoff::default();
             self.slowness = 1.0;
             self.ramp_from = Some(now);
         }
--- a/crates/policy/src/stop.rs
+++ b/crates/policy/src/stop.rs
@@ -10,7 +10,7 @@
 
 /// Phase of a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum StopPhase {
+pub enum ShutdownPhase {
     /// No stop was asked for.
     Running,
     /// Left the lists, still accepting.
@@ -23,21 +23,21 @@
 
 /// A stop with its bounds.
 #[derive(Clone, Debug)]
-pub struct StopPlan {
+pub struct ShutdownPlan {
     grace: Duration,
     bound: Duration,
     asked_at: Option<Moment>,
-    reached: StopPhase,
+    reached: ShutdownPhase,
 }
 
-impl StopPlan {
+impl ShutdownPlan {
     /// A plan that waits `grace` before refusing and `bound` before cutting.
     pub fn new(grace: Duration, bound: Duration) -> Self {
         Self {
             grace,
             bound: bound.max(grace),
             asked_at: None,
-            reached: StopPhase::Running,
+            reached: ShutdownPhase::Running,
         }
     }
 
@@ -49,26 +49,26 @@
     /// The phase, with `open` requests still open.
     ///
     /// ```
-    /// use onyxfall_policy::{Moment, StopPhase, StopPlan};
+    /// use onyxfall_policy::{Moment, ShutdownPhase, ShutdownPlan};
     /// use std::time::Duration;
-    /// let mut plan = StopPlan::new(Duration::from_secs(1), Duration::from_secs(9));
+    /// let mut plan = ShutdownPlan::new(Duration::from_secs(1), Duration::from_secs(9));
     /// plan.ask(Moment::ZERO);
-    /// assert_eq!(plan.phase(Moment::ZERO, 0), StopPhase::Grace);
+    /// assert_eq!(plan.phase(Moment::ZERO, 0), ShutdownPhase::Grace);
     /// let later = Moment::ZERO + Duration::from_secs(2);
-    /// assert_eq!(plan.phase(later, 1), StopPhase::Refusing);
-    /// assert_eq!(plan.phase(later, 0), StopPhase::Stopped);
+    /// assert_eq!(plan.phase(later, 1), ShutdownPhase::Refusing);
+    /// assert_eq!(plan.phase(later, 0), ShutdownPhase::Stopped);
     /// ```
-    pub fn phase(&mut self, now: Moment, open: usize) -> StopPhase {
+    pub fn phase(&mut self, now: Moment, open: usize) -> ShutdownPhase {
         let Some(asked_at) = self.asked_at else {
-            return StopPhase::Running;
+            return ShutdownPhase::Running;
         };
         let elapsed = now - asked_at;
         let phase = if elapsed < self.grace {
-            StopPhase::Grace
+            ShutdownPhase::Grace
         } else if open > 0 && elapsed < self.bound {
-            StopPhase::Refusing
+            ShutdownPhase::Refusing
         } else {
-            StopPhase::Stopped
+            ShutdownPhase::Stopped
         };
         self.reached = self.reached.max(phase);
         self.reached
--- a/crates/policy/tests/parts.rs
+++ b/crates/policy/tests/parts.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use onyxfall_policy::{
-    CacheEvent, CircuitBreaker, LoadReport, MemberBeat, MemberState, MemberTable, MemberTiming,
-    Moment, PrefixKey, PrefixTable, QueuedRequest, ServerState, TicketError, TicketId,
-    TicketLedger, TicketOutcome, TicketState, WaitId, WeightedQueue,
+    CacheEvent, CircuitBreaker, LoadReport, MemberHeartbeat, MemberState, MemberTable,
+    MemberTiming, Moment, PrefixKey, PrefixTable, QueuedRequest, ServerState, TicketError,
+    TicketId, TicketLedger, TicketOutcome, TicketState, WaitId, WeightedQueue,
 };
 use onyxfall_types::{
     EntityId, Incarnation, KindId, RefusalReason, RequestError, RunVerdict, ServerId,
@@ -281,8 +281,8 @@
     assert_eq!(table.len(), 4, "bounded");
 }
 
-fn beat(name: &str, incarnation: u64, leaving: bool) -> MemberBeat {
-    MemberBeat {
+fn beat(name: &str, incarnation: u64, leaving: bool) -> MemberHeartbeat {
+    MemberHeartbeat {
         name: name.parse().unwrap(),
         center: "c".parse().unwrap(),
         region: "r".parse().unwrap(),
@@ -295,7 +295,7 @@
 
 struct MemberCase {
     name: &'static str,
-    beats: Vec<(u64, MemberBeat)>,
+    beats: Vec<(u64, MemberHeartbeat)>,
     tick_ms: u64,
     expected: MemberState,
 }
@@ -444,26 +444,26 @@
 
 #[test]
 fn members_of_another_data_centre_live_by_its_word() {
-    let far = |name: &str| MemberBeat {
+    let far = |name: &str| MemberHeartbeat {
         center: "far".parse().unwrap(),
         ..beat(name, 1, false)
     };
     let center = "far".parse().unwrap();
     let state = |table: &MemberTable, name: &str| table.get(&name.parse().unwrap()).unwrap().state;
     let mut table = MemberTable::new(beat("a", 1, false), MemberTiming::default());
-    table.hear_members(at(0), &center, &[far("x"), far("y")]);
+    table.receive_members(at(0), &center, &[far("x"), far("y")]);
     let hash = table.serving_hash(&center);
-    table.hear_center(at(9000), &center);
+    table.receive_center(at(9000), &center);
     table.tick(at(11_000));
     assert_eq!(
         state(&table, "x"),
         MemberState::Alive,
         "kept alive by the data centre's word"
     );
-    table.hear_members(at(11_000), &center, &[far("x")]);
+    table.receive_members(at(11_000), &center, &[far("x")]);
     assert_eq!(state(&table, "y"), MemberState::Suspect, "no longer listed");
     assert_ne!(table.serving_hash(&center), hash);
-    table.hear_members(at(11_500), &center, &[far("x"), far("y")]);
+    table.receive_members(at(11_500), &center, &[far("x"), far("y")]);
     assert_eq!(state(&table, "y"), MemberState::Alive, "listed again");
     assert_eq!(table.serving_hash(&center), hash);
 }
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -196,7 +196,7 @@
                     sequence: self.sequence,
                     models,
                 };
-                self.router.hear_center(self.now, &digest);
+                self.router.receive_center(self.now, &digest);
             }
             RouterInput::Drain { server } => {
                 let name = ["s1", "s2"][server];
@@ -254,7 +254,7 @@
                 );
                 self.open.push(*attempt);
             }
-            RouteStep::Away { attempt, center } => {
+            RouteStep::Forward { attempt, center } => {
                 let region = self.bundle.centers[*center].region;
                 assert!(arrival.allowed.contains(region), "sent outside residency");
                 assert_eq!(arrival.origin, ArrivalOrigin::Caller, "a second hop");
--- a/crates/policy/tests/router.rs
+++ b/crates/policy/tests/router.rs
@@ -173,7 +173,7 @@
         grant,
     }];
     let center = bundle.center_id(center).unwrap();
-    router.hear_center(
+    router.receive_center(
         Moment::ZERO,
         &CenterDigest {
             center,
@@ -203,7 +203,7 @@
 fn describe(bundle: &ServiceBundle, step: &RouteStep) -> String {
     match step {
         RouteStep::Run { server, .. } => format!("run {}", bundle.servers[*server].name),
-        RouteStep::Away { center, .. } => format!("away {}", bundle.centers[*center].name),
+        RouteStep::Forward { center, .. } => format!("away {}", bundle.centers[*center].name),
         RouteStep::Wait(_) => "wait".to_owned(),
         RouteStep::Refuse(error) => {
             assert_eq!(error.verdict, RunVerdict::NotRun);
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -25,7 +25,7 @@
 
 /// How an answer of a server was.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum AnswerOutcome {
+pub enum ResponseOutcome {
     /// A failure of the server's own.
     Failed,
     /// A success that took so many times as long as usual.
@@ -49,17 +49,17 @@
 }
 
 impl EvidenceCounts {
-    fn note(&mut self, outcome: AnswerOutcome) {
+    fn note(&mut self, outcome: ResponseOutcome) {
         self.answers += 1;
         match outcome {
-            AnswerOutcome::Failed => self.failures += 1,
-            AnswerOutcome::Succeeded { ratio: Some(ratio) } => {
+            ResponseOutcome::Failed => self.failures += 1,
+            ResponseOutcome::Succeeded { ratio: Some(ratio) } => {
                 self.timed += 1;
                 for (count, least) in self.slow.iter_mut().zip(SLOW_RATIOS) {
                     *count += u64::from(ratio >= least);
                 }
             }
-            AnswerOutcome::Succeeded { ratio: None } => {}
+            ResponseOutcome::Succeeded { ratio: None } => {}
         }
     }
 
@@ -206,7 +206,7 @@
     }
 
     /// Notes an answer that this VM has seen. `life` is the hash of the server's life.
-    pub fn note(&mut self, route: &str, side: VersionSide, life: u64, outcome: AnswerOutcome) {
+    pub fn note(&mut self, route: &str, side: VersionSide, life: u64, outcome: ResponseOutcome) {
         let Some(cells) = self.routes.get_mut(route) else {
             return;
         };
@@ -248,7 +248,7 @@
 
     /// Takes the sum of the counts of the other VMs of the region; whether the tag is
     /// known.
-    pub fn set_told(&mut self, tag: EvidenceTag, counts: EvidenceCounts) -> bool {
+    pub fn set_regional(&mut self, tag: EvidenceTag, counts: EvidenceCounts) -> bool {
         let cell = self.cell(tag);
         let is_known = cell.is_some();
         if let Some(cell) = cell {
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -109,13 +109,13 @@
 /// Judges all of the evidence.
 ///
 /// ```
-/// use onyxfall_rollout::{AnswerOutcome, RolloutEvidence, VersionSide, judge};
+/// use onyxfall_rollout::{ResponseOutcome, RolloutEvidence, VersionSide, judge};
 /// let mut evidence = RolloutEvidence::new("svc");
 /// evidence.add_route(&"r".parse().unwrap());
 /// for number in 0..200 {
-///     let good = AnswerOutcome::Succeeded { ratio: Some(1.0) };
+///     let good = ResponseOutcome::Succeeded { ratio: Some(1.0) };
 ///     evidence.note("r", VersionSide::Old, 0, good);
-///     evidence.note("r", VersionSide::New, number, AnswerOutcome::Failed);
+///     evidence.note("r", VersionSide::New, number, ResponseOutcome::Failed);
 /// }
 /// assert!(judge(&evidence).bad().is_some());
 /// ```
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -2,7 +2,7 @@
 //! that version is given up.
 //!
 //! The operator orders a version ([`RolloutOrder`]) whose servers start beside the old
-//! ones. Each VM sends a small part of its requests to it ([`SampleShare`]), counts what
+//! ones. Each VM sends a small part of its requests to it ([`CanaryShare`]), counts what
 //! came of them ([`RolloutEvidence`]) and joins the counts of its region. A version that
 //! does worse than the old one is closed at once by every VM that knows the counts
 //! ([`judge`]), and the store's record says so. One that does as well takes over region by
@@ -24,12 +24,12 @@
 mod timeline;
 
 pub use evidence::{
-    AnswerOutcome, EvidenceCounts, EvidenceTag, RolloutEvidence, SLOW_RATIOS, VersionSide,
+    EvidenceCounts, EvidenceTag, ResponseOutcome, RolloutEvidence, SLOW_RATIOS, VersionSide,
 };
 pub use judge::{BadMetric, RolloutJudgement, judge};
 pub use order::{LONGEST_ROLLOUT, RolloutOrder};
 pub use record::{RolloutReason, RolloutRecord, RolloutState};
-pub use sample::SampleShare;
+pub use sample::CanaryShare;
 pub use service::{RolloutPhase, ServerCounts, VersionRule};
 pub use table::{RolloutStatus, RolloutTable, RolloutWrite, StoreWriter};
 pub use timeline::RolloutTimeline;
--- a/crates/rollout/src/sample.rs
+++ b/crates/rollout/src/sample.rs
@@ -11,18 +11,18 @@
 /// Gives a part of the requests, counted by each VM for its own: the sum over VMs keeps
 /// the part although they may not hear each other.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SampleShare {
+pub struct CanaryShare {
     credit: f64,
     is_begun: bool,
 }
 
-impl SampleShare {
+impl CanaryShare {
     /// Counts a request, and tells whether it is one of the part, which is larger where
     /// requests are scarce.
     ///
     /// ```
-    /// use onyxfall_rollout::SampleShare;
-    /// let mut share = SampleShare::default();
+    /// use onyxfall_rollout::CanaryShare;
+    /// let mut share = CanaryShare::default();
     /// let rng = &mut rand::rng();
     /// let given = (0..1000).filter(|_| share.count(false, rng) && share.take()).count();
     /// assert!((49..=51).contains(&given));
--- a/crates/rollout/src/service.rs
+++ b/crates/rollout/src/service.rs
@@ -12,7 +12,7 @@
 use crate::judge::{BadMetric, RolloutJudgement};
 use crate::order::RolloutOrder;
 use crate::record::{RolloutReason, RolloutRecord, RolloutState};
-use crate::sample::{SAMPLE_PART, SampleShare};
+use crate::sample::{CanaryShare, SAMPLE_PART};
 use crate::timeline::RolloutTimeline;
 
 /// Time between two looks at the evidence.
@@ -85,12 +85,12 @@
 /// An order with the position at which it was written. Its revision tells orders apart,
 /// and is the same in the eras of a store that was restored.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct HeldOrder {
+pub(crate) struct PendingOrder {
     pub(crate) order: RolloutOrder,
     position: StorePosition,
 }
 
-impl HeldOrder {
+impl PendingOrder {
     /// Number by which records name it.
     pub(crate) fn number(&self) -> u64 {
         self.position.revision()
@@ -129,7 +129,7 @@
 /// The roll-out of a service.
 #[derive(Clone, Debug)]
 pub(crate) struct ServiceRollout {
-    order: Option<HeldOrder>,
+    order: Option<PendingOrder>,
     seen: Moment,
     held: Option<HeldRecord>,
     marks: BTreeMap<RegionName, ShiftMark>,
@@ -140,7 +140,7 @@
     pub(crate) judgement: RolloutJudgement,
     /// In which way this VM has found the version bad.
     verdict: Option<BadMetric>,
-    sample: SampleShare,
+    sample: CanaryShare,
 }
 
 impl ServiceRollout {
@@ -156,14 +156,14 @@
             judged: None,
             judgement: RolloutJudgement::default(),
             verdict: None,
-            sample: SampleShare::default(),
+            sample: CanaryShare::default(),
         }
     }
 
     /// Takes the operator's order. Another one than before begins with no evidence.
     pub(crate) fn take_order(&mut self, now: Moment, revision: u64, order: RolloutOrder) {
         let position = StorePosition::from_order(revision);
-        let order = HeldOrder { order, position };
+        let order = PendingOrder { order, position };
         if self.is_written_again(&order) {
             self.renumber(order);
             return;
@@ -180,7 +180,7 @@
 
     /// Whether an order is the one that is held: at the same revision, or written again
     /// after the store was restored from a copy that lacked it.
-    fn is_written_again(&self, order: &HeldOrder) -> bool {
+    fn is_written_again(&self, order: &PendingOrder) -> bool {
         self.order.as_ref().is_some_and(|held| {
             let is_later_era = order.position.era() > held.position.era();
             held.order == order.order && (is_later_era || held.number() == order.number())
@@ -189,7 +189,7 @@
 
     /// Goes on with the order that is held under the number that it has now. What stands
     /// under another number in the store has to be written again.
-    fn renumber(&mut self, order: HeldOrder) {
+    fn renumber(&mut self, order: PendingOrder) {
         let number = order.number();
         let before = self.order.replace(order).map(|held| held.number());
         if before == Some(number) {
@@ -214,7 +214,7 @@
         self.order = None;
     }
 
-    pub(crate) fn order(&self) -> Option<&HeldOrder> {
+    pub(crate) fn order(&self) -> Option<&PendingOrder> {
         self.order.as_ref()
     }
 
@@ -243,7 +243,7 @@
     }
 
     /// Notes that the record no longer stands in the store.
-    pub(crate) fn lose_record(&mut self) {
+    pub(crate) fn remove_record(&mut self) {
         if let Some(held) = &mut self.held {
             held.revision = 0;
             held.is_lost = true;
@@ -296,7 +296,7 @@
     /// The record that answers the order in force; of a withdrawn order the last one.
     fn current(&self) -> Option<&HeldRecord> {
         let held = self.held.as_ref()?;
-        let order = self.order.as_ref().map(HeldOrder::number);
+        let order = self.order.as_ref().map(PendingOrder::number);
         order
             .is_none_or(|order| order == held.record.order)
             .then_some(held)
@@ -416,7 +416,7 @@
     }
 
     /// Counts a request that is sent to the new version as one of the sample.
-    pub(crate) fn take_sample(&mut self) {
+    pub(crate) fn claim_canary(&mut self) {
         self.sample.take();
     }
 
@@ -495,7 +495,7 @@
         &self,
         now: Moment,
         unix_start: Duration,
-        order: &HeldOrder,
+        order: &PendingOrder,
         servers: &BTreeMap<RegionName, ServerCounts>,
     ) -> Option<DueWrite> {
         let old: usize = servers.values().map(|counts| counts.old).sum();
--- a/crates/rollout/src/table.rs
+++ b/crates/rollout/src/table.rs
@@ -7,12 +7,12 @@
 use onyxfall_types::{RegionName, RouteName, ServiceName, SoftwareVersion};
 use rand::Rng;
 
-use crate::evidence::{AnswerOutcome, EvidenceCounts, EvidenceTag, VersionSide};
+use crate::evidence::{EvidenceCounts, EvidenceTag, ResponseOutcome, VersionSide};
 use crate::judge::{BadMetric, RolloutJudgement};
 use crate::order::RolloutOrder;
 use crate::record::{RolloutReason, RolloutRecord};
 use crate::service::{
-    DueWrite, HeldOrder, RolloutPhase, ServerCounts, ServiceRollout, VersionRule,
+    DueWrite, PendingOrder, RolloutPhase, ServerCounts, ServiceRollout, VersionRule,
 };
 
 /// How much longer each further VM waits with a change that is due: the first one's is
@@ -164,14 +164,14 @@
     }
 
     /// Notes that the store has lost the record of a service.
-    pub fn lose_record(&mut self, service: &ServiceName) {
+    pub fn remove_record(&mut self, service: &ServiceName) {
         if let Some(rollout) = self.services.get_mut(service) {
-            rollout.lose_record();
+            rollout.remove_record();
         }
     }
 
     /// Notes that the store has lost a region's word that it moves its traffic.
-    pub fn lose_shift(&mut self, service: &ServiceName, region: &RegionName) {
+    pub fn remove_shift(&mut self, service: &ServiceName, region: &RegionName) {
         if let Some(rollout) = self.services.get_mut(service) {
             rollout.lose_mark(region);
         }
@@ -216,9 +216,9 @@
     }
 
     /// Counts a request that is sent to the new version as one of the sample.
-    pub fn take_sample(&mut self, service: &ServiceName) {
+    pub fn claim_canary(&mut self, service: &ServiceName) {
         if let Some(rollout) = self.services.get_mut(service) {
-            rollout.take_sample();
+            rollout.claim_canary();
         }
     }
 
@@ -229,7 +229,7 @@
         route: &str,
         side: VersionSide,
         life: u64,
-        outcome: AnswerOutcome,
+        outcome: ResponseOutcome,
     ) {
         if let Some(rollout) = self.services.get_mut(service) {
             rollout.evidence.note(route, side, life, outcome);
@@ -244,9 +244,9 @@
     }
 
     /// Takes the sum of the other VMs' counts; whether the tag is known.
-    pub fn set_told(&mut self, tag: EvidenceTag, counts: EvidenceCounts) -> bool {
+    pub fn set_regional(&mut self, tag: EvidenceTag, counts: EvidenceCounts) -> bool {
         let mut rollouts = self.services.values_mut();
-        rollouts.any(|rollout| rollout.evidence.set_told(tag, counts))
+        rollouts.any(|rollout| rollout.evidence.set_regional(tag, counts))
     }
 
     /// Counts of this region, to tell other regions.
@@ -378,7 +378,7 @@
             service,
             region: region.clone(),
             expected: rollout.mark_revision(region),
-            order: rollout.order().map_or(0, HeldOrder::number),
+            order: rollout.order().map_or(0, PendingOrder::number),
         },
     }
 }
--- a/crates/rollout/tests/support/mod.rs
+++ b/crates/rollout/tests/support/mod.rs
@@ -7,7 +7,7 @@
 
 use onyxfall_policy::Moment;
 use onyxfall_rollout::{
-    AnswerOutcome, EvidenceCounts, EvidenceTag, RolloutOrder, RolloutPhase, RolloutRecord,
+    EvidenceCounts, EvidenceTag, ResponseOutcome, RolloutOrder, RolloutPhase, RolloutRecord,
     RolloutState, RolloutTable, RolloutWrite, ServerCounts, StoreWriter, VersionSide,
 };
 use onyxfall_types::{RegionName, RouteName, ServiceName};
@@ -368,7 +368,7 @@
             if self.fault == PlayFault::NoServers {
                 return;
             }
-            self.vms[vm].table.take_sample(&service());
+            self.vms[vm].table.claim_canary(&service());
         }
         let state = self.record.as_ref().map(|(_, record)| record.state);
         if side == VersionSide::New && state != Some(RolloutState::Completed) {
@@ -443,11 +443,11 @@
             }
         }
         let outcome = if self.rng.random_bool(failures.min(1.0)) {
-            AnswerOutcome::Failed
+            ResponseOutcome::Failed
         } else {
             // Servers that have just started are slow, and say nothing.
             let is_warm = side == VersionSide::Old || self.now() >= Duration::from_secs(3);
-            AnswerOutcome::Succeeded {
+            ResponseOutcome::Succeeded {
                 ratio: is_warm.then_some(ratio),
             }
         };
@@ -479,7 +479,7 @@
                 }
             }
             for (tag, counts) in sums {
-                self.vms[to].table.set_told(EvidenceTag(tag), counts);
+                self.vms[to].table.set_regional(EvidenceTag(tag), counts);
             }
         }
         self.tell_regions();
--- a/crates/rollout/tests/ways.rs
+++ b/crates/rollout/tests/ways.rs
@@ -1,7 +1,7 @@
 //! Two ways of judging a version, side by side: the likelihood ratio that may be looked at
 //! at every moment, and a comparison of fixed windows.
 
-use onyxfall_rollout::{AnswerOutcome, EvidenceCounts, RolloutEvidence, VersionSide, judge};
+use onyxfall_rollout::{EvidenceCounts, ResponseOutcome, RolloutEvidence, VersionSide, judge};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -97,9 +97,9 @@
         (VersionSide::Old, case.usual)
     };
     let outcome = if rng.random_bool(part) {
-        AnswerOutcome::Failed
+        ResponseOutcome::Failed
     } else {
-        AnswerOutcome::Succeeded { ratio: None }
+        ResponseOutcome::Succeeded { ratio: None }
     };
     evidence.note(ROUTE, side, rng.random_range(0..SERVERS), outcome);
 }
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -10,7 +10,7 @@
 
 use crossbeam::channel::{self, Receiver, Sender};
 use http::{Method, Request};
-use onyxfall_adapter::standin::{answered_id, caller_headers, claim_team, is_signed};
+use onyxfall_adapter::stub::{caller_headers, claim_team, is_signed, response_request_id};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use ureq::Agent;
@@ -87,7 +87,7 @@
     let (head, body) = answer.into_parts();
     report.answered = Some(Instant::now());
     report.status = Some(head.status.as_u16());
-    report.is_own = is_signed(&head.headers) && answered_id(&head.headers) == Some(id);
+    report.is_own = is_signed(&head.headers) && response_request_id(&head.headers) == Some(id);
     let mut bytes = Vec::new();
     let read = body
         .into_with_config()
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use onyxfall_adapter::standin::ReceivedCall;
-use onyxfall_fakes::ServerStandIn;
+use onyxfall_adapter::stub::ReceivedCall;
+use onyxfall_fakes::ServerStub;
 
 use crate::callers::CallReport;
 use crate::world::{RequestKind, TEAM};
@@ -101,7 +101,7 @@
             return;
         }
         let whole = if report.kind.is_stream() {
-            ServerStandIn::whole_stream()
+            ServerStub::whole_stream()
         } else {
             PLAIN_ANSWER.to_owned()
         };
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use onyxfall_fakes::{AskedRest, ServerFailing, StoreMode};
+use onyxfall_fakes::{RequestedBackoff, ServerFault, StoreMode};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -93,7 +93,7 @@
     /// The store comes back from a copy that was made at the beginning.
     Restore,
     /// What a server does with requests.
-    Server(usize, ServerFailing),
+    Server(usize, ServerFault),
     /// A server leaves and a new life takes its place.
     Replace(usize),
     /// A new configuration.
@@ -104,7 +104,7 @@
     /// place.
     Leave(usize, NextLife),
     /// A server turns requests away and asks for rest.
-    Rest(usize, AskedRest),
+    Rest(usize, RequestedBackoff),
     /// A server names the requests a second that it takes.
     Limit(usize, &'static str),
     /// Another writer leaves something in a server's entry that is none.
@@ -233,7 +233,7 @@
         };
         return Fault::Leave(server, next);
     }
-    let rest = AskedRest {
+    let rest = RequestedBackoff {
         seconds: RESTS[rng.random_range(0..RESTS.len())],
         every: rng.random_range(RESTS_EVERY),
     };
@@ -264,7 +264,7 @@
         10 => Fault::Store(if rng.random() {
             StoreMode::Refusing
         } else {
-            StoreMode::Silent
+            StoreMode::Unresponsive
         }),
         11 => Fault::ForgetHistory,
         12..=14 => Fault::Server(server, draw_failing(rng)),
@@ -283,14 +283,14 @@
     }
 }
 
-fn draw_failing(rng: &mut StdRng) -> ServerFailing {
-    const ALL: [ServerFailing; 6] = [
-        ServerFailing::Fails,
-        ServerFailing::Sheds,
-        ServerFailing::Closes,
-        ServerFailing::Stray,
-        ServerFailing::BreaksOff,
-        ServerFailing::Mute,
+fn draw_failing(rng: &mut StdRng) -> ServerFault {
+    const ALL: [ServerFault; 6] = [
+        ServerFault::Fails,
+        ServerFault::Rejects,
+        ServerFault::Closes,
+        ServerFault::WrongResponse,
+        ServerFault::Disconnects,
+        ServerFault::Unresponsive,
     ];
     ALL[rng.random_range(0..ALL.len())]
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use onyxfall_fakes::{ServerFailing, ServerStandIn, StoreMode};
+use onyxfall_fakes::{ServerFault, ServerStub, StoreMode};
 use rustix::process::Signal;
 use ureq::Agent;
 
@@ -209,15 +209,15 @@
                 Ok(())
             }
             Fault::ForgetHistory => {
-                self.world.store.forget_history();
+                self.world.store.compact_history();
                 Ok(())
             }
             Fault::Restore => {
-                self.world.keep_copy();
+                self.world.save_snapshot();
                 Ok(())
             }
             Fault::Server(server, failing) => {
-                self.set_failing(server, failing);
+                self.set_fault(server, failing);
                 Ok(())
             }
             Fault::Configure => {
@@ -247,12 +247,12 @@
             Fault::StoreLink(vm, _) => self.set(Fault::StoreLink(vm, LinkMode::Open)),
             Fault::CallerLink(vm, _) => self.set(Fault::CallerLink(vm, LinkMode::Open)),
             Fault::ServerLink(server, _) => self.set(Fault::ServerLink(server, LinkMode::Open)),
-            Fault::Store(_) => self.set(Fault::Store(StoreMode::Well)),
+            Fault::Store(_) => self.set(Fault::Store(StoreMode::Normal)),
             Fault::Foreign(server, _) => {
                 self.world.restore(server);
                 Ok(())
             }
-            Fault::Server(server, _) => self.set(Fault::Server(server, ServerFailing::None)),
+            Fault::Server(server, _) => self.set(Fault::Server(server, ServerFault::None)),
             Fault::Leave(server, NextLife::Renamed) => self.world.succeed(server),
             Fault::Leave(server, NextLife::Reborn) => self.world.restart(server),
             Fault::Rest(server, _) => {
@@ -264,7 +264,7 @@
                 Ok(())
             }
             Fault::Restore => {
-                self.world.store.restore_copy();
+                self.world.store.restore_snapshot();
                 Ok(())
             }
             Fault::Kill(_)
@@ -277,9 +277,9 @@
         }
     }
 
-    fn set_failing(&self, server: usize, failing: ServerFailing) {
+    fn set_fault(&self, server: usize, failing: ServerFault) {
         for life in &self.world.servers[server].lock().lives {
-            life.set_failing(failing);
+            life.set_fault(failing);
         }
     }
 
@@ -319,8 +319,8 @@
             .collect();
         let mut lives = Vec::new();
         for (server, state) in self.world.servers.iter().enumerate() {
-            for (life, standin) in state.lock().lives.iter().enumerate() {
-                let arrivals = standin.arrivals_from(0);
+            for (life, stub) in state.lock().lives.iter().enumerate() {
+                let arrivals = stub.arrivals_from(0);
                 lives.push(LifeArrivals {
                     server,
                     life,
@@ -428,7 +428,7 @@
     fn wait_used(&mut self) {
         let arrived = |run: &Self, server: usize| {
             let state = run.world.servers[server].lock();
-            state.lives.last().map_or(0, ServerStandIn::arrived)
+            state.lives.last().map_or(0, ServerStub::arrived)
         };
         let servers = self.world.servers.iter().enumerate();
         let reborn: Vec<usize> = servers
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -9,12 +9,12 @@
 use std::process::{Child, Command, ExitStatus};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use onyxfall_adapter::standin::{
-    RouteShape, RouteText, ServiceText, TeamText, config_key, document_with_teams, foreign_entries,
-    server_body, server_key,
+use onyxfall_adapter::stub::{
+    RouteShape, RouteText, ServiceText, TeamText, config_key, document_with_teams,
+    malformed_entries, server_body, server_key,
 };
-use onyxfall_fakes::{AskedRest, SaidWord, ServerStandIn, StoreStandIn};
-use onyxfall_fleet::{ServerBirth, ServerPhase, ServerRecord};
+use onyxfall_fakes::{RequestedBackoff, ServerStub, StoreStub, StubSignals};
+use onyxfall_fleet::{ServerPhase, ServerRecord, StartTime};
 use parking_lot::Mutex;
 use rustix::process::{Pid, Signal, kill_process};
 
@@ -122,9 +122,9 @@
     /// Unix milliseconds of its present life's start.
     born: u64,
     /// What its present life says of itself.
-    word: SaidWord,
+    word: StubSignals,
     /// The stand-ins of all its lives, the present one last.
-    pub(crate) lives: Vec<ServerStandIn>,
+    pub(crate) lives: Vec<ServerStub>,
     /// Link between gateways and it.
     pub(crate) link: HarmedLink,
 }
@@ -133,7 +133,7 @@
 pub(crate) struct SoakWorld {
     program: PathBuf,
     dir: PathBuf,
-    pub(crate) store: StoreStandIn,
+    pub(crate) store: StoreStub,
     pub(crate) vms: Vec<Mutex<SoakVm>>,
     pub(crate) servers: Vec<Mutex<SoakServer>>,
     pub(crate) version: Mutex<u64>,
@@ -144,7 +144,7 @@
     pub(crate) fn start(program: &Path, seed: u64, size: &RunSize) -> io::Result<Self> {
         let dir = std::env::temp_dir().join(format!("onyxfall-soak-{}-{seed}", std::process::id()));
         fs::create_dir_all(&dir)?;
-        let store = StoreStandIn::start(stand_in_ip())?;
+        let store = StoreStub::start(stand_in_ip())?;
         let ips: Vec<Ipv4Addr> = (0..size.vms).map(vm_ip).collect();
         let ports = free_ports(&ips)?;
         let vms = (0..size.vms)
@@ -169,14 +169,14 @@
             .collect::<io::Result<_>>()?;
         let servers = (0..size.servers)
             .map(|server| {
-                let standin = ServerStandIn::start(stand_in_ip())?;
-                standin.set_name(&server_name(server, 1));
-                let link = HarmedLink::start(stand_in_ip(), standin.address())?;
-                let lives = vec![standin];
+                let stub = ServerStub::start(stand_in_ip())?;
+                stub.set_name(&server_name(server, 1));
+                let link = HarmedLink::start(stand_in_ip(), stub.address())?;
+                let lives = vec![stub];
                 Ok(Mutex::new(SoakServer {
                     life: 1,
                     born: unix_millis(),
-                    word: SaidWord::default(),
+                    word: StubSignals::default(),
                     lives,
                     link,
                 }))
@@ -218,8 +218,8 @@
     }
 
     /// Makes a copy of the store that will lack many changes.
-    pub(crate) fn keep_copy(&self) {
-        self.store.keep_copy();
+    pub(crate) fn save_snapshot(&self) {
+        self.store.save_snapshot();
         for _ in 0..CHANGES_LOST {
             self.store.put(UNUSED_KEY, String::new());
         }
@@ -281,7 +281,7 @@
         let name = server_name(server, state.life);
         ServerRecord {
             name: name.parse().expect("a name of letters and digits"),
-            born: ServerBirth::from_millis(state.born),
+            born: StartTime::from_millis(state.born),
             service: SERVICE.parse().expect("a name of letters"),
             version: None,
             address: state.link.address(),
@@ -304,19 +304,19 @@
     /// address is given on only after its server has ended, so that no connection is left
     /// on which the former life could answer requests that are meant for the new one.
     pub(crate) fn succeed(&self, server: usize) -> io::Result<()> {
-        let standin = ServerStandIn::start(stand_in_ip())?;
+        let stub = ServerStub::start(stand_in_ip())?;
         let old = server_name(server, self.servers[server].lock().life);
         self.store.delete(&server_key(&old));
         {
             let mut state = self.servers[server].lock();
-            standin.set_name(&server_name(server, state.life + 1));
+            stub.set_name(&server_name(server, state.life + 1));
             if let Some(before) = state.lives.last() {
                 before.crash();
             }
-            state.link.set_target(standin.address());
-            state.lives.push(standin);
+            state.link.set_target(stub.address());
+            state.lives.push(stub);
             state.life += 1;
-            state.word = SaidWord::default();
+            state.word = StubSignals::default();
             state.born = unix_millis().max(state.born + 1);
         }
         self.announce(server, ServerPhase::Ready);
@@ -325,16 +325,16 @@
 
     /// Crashes a server; it starts again at once, under its name.
     pub(crate) fn restart(&self, server: usize) -> io::Result<()> {
-        let standin = ServerStandIn::start(stand_in_ip())?;
+        let stub = ServerStub::start(stand_in_ip())?;
         {
             let mut state = self.servers[server].lock();
-            standin.set_name(&server_name(server, state.life));
+            stub.set_name(&server_name(server, state.life));
             if let Some(before) = state.lives.last() {
                 before.crash();
             }
-            state.link.set_target(standin.address());
-            state.lives.push(standin);
-            state.word = SaidWord::default();
+            state.link.set_target(stub.address());
+            state.lives.push(stub);
+            state.word = StubSignals::default();
             state.born = unix_millis().max(state.born + 1);
         }
         self.announce(server, ServerPhase::Ready);
@@ -343,31 +343,31 @@
 
     /// Lets the present life of a server say in its answers that it leaves.
     pub(crate) fn leave(&self, server: usize) {
-        self.set_word(server, |word| word.is_leaving = true);
+        self.set_signals(server, |word| word.is_leaving = true);
     }
 
     /// Lets the present life of a server turn requests away, or no longer.
-    pub(crate) fn rest(&self, server: usize, rest: Option<AskedRest>) {
-        self.set_word(server, |word| word.rest = rest);
+    pub(crate) fn rest(&self, server: usize, rest: Option<RequestedBackoff>) {
+        self.set_signals(server, |word| word.rest = rest);
     }
 
     /// Lets the present life of a server name the requests a second that it takes, or none.
     pub(crate) fn limit(&self, server: usize, limit: Option<&'static str>) {
-        self.set_word(server, |word| word.limit = limit);
+        self.set_signals(server, |word| word.limit = limit);
     }
 
-    fn set_word(&self, server: usize, change: impl FnOnce(&mut SaidWord)) {
+    fn set_signals(&self, server: usize, change: impl FnOnce(&mut StubSignals)) {
         let mut state = self.servers[server].lock();
         change(&mut state.word);
         if let Some(life) = state.lives.last() {
-            life.set_word(state.word);
+            life.set_signals(state.word);
         }
     }
 
     /// Leaves something in a server's entry that is none.
     pub(crate) fn spoil(&self, server: usize, kind: usize) {
         let record = self.record(server, ServerPhase::Ready);
-        let kinds = foreign_entries(&record);
+        let kinds = malformed_entries(&record);
         let left = kinds[kind % kinds.len()].text.clone();
         self.store.put(&server_key(record.name.as_str()), left);
     }
--- a/crates/suspects/src/lib.rs
+++ b/crates/suspects/src/lib.rs
@@ -20,7 +20,7 @@
 
 pub use fingerprint::{FingerprintError, FingerprintParts, RequestFingerprint};
 pub use holder::holder_of;
-pub use life::{LifeTag, LifeTagError};
-pub use news::{CrashNews, LifeNews, RequestNews, SuspectNews, SuspectsTold};
+pub use life::{InstanceTag, InstanceTagError};
+pub use news::{CrashUpdate, InstanceUpdate, RequestUpdate, SuspectCursor, SuspectUpdate};
 pub use table::{QUARANTINE, SuspectTable};
 pub use verdict::SuspectVerdict;
--- a/crates/suspects/src/life.rs
+++ b/crates/suspects/src/life.rs
@@ -9,20 +9,20 @@
 /// Short name of one life of a server, the same on every VM.
 ///
 /// ```
-/// use onyxfall_suspects::LifeTag;
-/// let life = LifeTag::of("server-1");
+/// use onyxfall_suspects::InstanceTag;
+/// let life = InstanceTag::of("server-1");
 /// assert_eq!(life.to_string().parse(), Ok(life));
-/// assert_ne!(life, LifeTag::of("server-2"));
+/// assert_ne!(life, InstanceTag::of("server-2"));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LifeTag(u64);
+pub struct InstanceTag(u64);
 
 /// A text that is no tag of a life.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{0}` is not a life's tag: expected life and a number in hex")]
-pub struct LifeTagError(String);
+pub struct InstanceTagError(String);
 
-impl LifeTag {
+impl InstanceTag {
     /// The tag of the life called `name`.
     pub fn of(name: &str) -> Self {
         Self(stable_hash(&[name]))
@@ -39,20 +39,20 @@
     }
 }
 
-impl fmt::Display for LifeTag {
+impl fmt::Display for InstanceTag {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "life{:016x}", self.0)
     }
 }
 
-impl FromStr for LifeTag {
-    type Err = LifeTagError;
+impl FromStr for InstanceTag {
+    type Err = InstanceTagError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let number = text.strip_prefix("life");
         let number = number.and_then(|digits| u64::from_str_radix(digits, 16).ok());
         number
             .map(Self)
-            .ok_or_else(|| LifeTagError(text.to_owned()))
+            .ok_or_else(|| InstanceTagError(text.to_owned()))
     }
 }
--- a/crates/suspects/src/news.rs
+++ b/crates/suspects/src/news.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use crate::fingerprint::RequestFingerprint;
-use crate::life::LifeTag;
+use crate::life::InstanceTag;
 
 /// A server that broke off under a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CrashNews {
+pub struct CrashUpdate {
     /// Its life.
-    pub life: LifeTag,
+    pub life: InstanceTag,
     /// How long ago.
     pub age: Duration,
     /// How often the life had survived before.
@@ -20,20 +20,20 @@
 
 /// What is known of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RequestNews {
+pub struct RequestUpdate {
     /// The request.
     pub fingerprint: RequestFingerprint,
     /// How often it ran to a good end after servers had broken off under it.
     pub good_runs: u32,
     /// Servers that broke off under it since.
-    pub crashes: Vec<CrashNews>,
+    pub crashes: Vec<CrashUpdate>,
 }
 
 /// What is known of a life that broke off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LifeNews {
+pub struct InstanceUpdate {
     /// The life.
-    pub life: LifeTag,
+    pub life: InstanceTag,
     /// How often it gave a sign of life after it had broken off.
     pub survivals: u32,
     /// How long ago it broke off since the last of these, if it did.
@@ -42,18 +42,18 @@
 
 /// What has changed of requests and lives.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct SuspectNews {
+pub struct SuspectUpdate {
     /// Requests.
-    pub requests: Vec<RequestNews>,
+    pub requests: Vec<RequestUpdate>,
     /// Lives.
-    pub lives: Vec<LifeNews>,
+    pub lives: Vec<InstanceUpdate>,
 }
 
-impl SuspectNews {
+impl SuspectUpdate {
     /// Whether there is nothing.
     ///
     /// ```
-    /// assert!(onyxfall_suspects::SuspectNews::default().is_empty());
+    /// assert!(onyxfall_suspects::SuspectUpdate::default().is_empty());
     /// ```
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty() && self.lives.is_empty()
@@ -62,4 +62,4 @@
 
 /// What was told in one direction of a link: all changes up to a number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SuspectsTold(pub(crate) u64);
+pub struct SuspectCursor(pub(crate) u64);
--- a/crates/suspects/src/record.rs
+++ b/crates/suspects/src/record.rs
@@ -10,14 +10,14 @@
 
 use onyxfall_policy::Moment;
 
-use crate::life::LifeTag;
+use crate::life::InstanceTag;
 
 /// Crashes that are kept of one request; more change no verdict.
 const MOST_CRASHES: usize = 8;
 
 /// A life of a server that broke off.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct LifeRecord {
+pub(crate) struct InstanceRecord {
     /// How often it gave a sign of life after it had broken off.
     pub(crate) survivals: u32,
     /// When it broke off since the last of these, if it did.
@@ -29,7 +29,7 @@
     pub(crate) changed: u64,
 }
 
-impl LifeRecord {
+impl InstanceRecord {
     /// Notes that it broke off, or not, after it had survived so often; whether that is
     /// news.
     pub(crate) fn note(&mut self, survivals: u32, lost: Option<Moment>) -> bool {
@@ -49,7 +49,7 @@
 
     /// Notes a sign of life at `at`; whether that is news: bytes that had arrived before
     /// it broke off are still read for a while.
-    pub(crate) fn note_alive(&mut self, at: Moment) -> bool {
+    pub(crate) fn record_liveness(&mut self, at: Moment) -> bool {
         let is_news = self
             .lost
             .is_some_and(|lost| at > lost + crate::table::SETTLE);
@@ -76,7 +76,7 @@
     /// How often it ran to a good end after servers had broken off under it.
     pub(crate) good_runs: u32,
     /// The lives that broke off under it since.
-    crashes: BTreeMap<LifeTag, CrashRecord>,
+    crashes: BTreeMap<InstanceTag, CrashRecord>,
     /// When one last did.
     newest: Moment,
     /// Number of the last change.
@@ -85,7 +85,7 @@
 
 impl SuspectRecord {
     /// The lives that broke off under it since its last good run.
-    pub(crate) fn crashes(&self) -> impl Iterator<Item = (LifeTag, CrashRecord)> {
+    pub(crate) fn crashes(&self) -> impl Iterator<Item = (InstanceTag, CrashRecord)> {
         self.crashes.iter().map(|(life, crash)| (*life, *crash))
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Whether it was on a life when that broke off.
-    pub(crate) fn was_on(&self, life: LifeTag) -> bool {
+    pub(crate) fn was_on(&self, life: InstanceTag) -> bool {
         self.crashes.contains_key(&life)
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Notes that it was on a life that broke off; whether that is news.
-    pub(crate) fn note_crash(&mut self, life: LifeTag, crash: CrashRecord) -> bool {
+    pub(crate) fn record_crash(&mut self, life: InstanceTag, crash: CrashRecord) -> bool {
         if let Some(known) = self.crashes.get_mut(&life) {
             let is_later = crash.survivals > known.survivals;
             let is_earlier = crash.survivals == known.survivals && crash.at < known.at;
--- a/crates/suspects/src/table.rs
+++ b/crates/suspects/src/table.rs
@@ -6,9 +6,9 @@
 use onyxfall_policy::Moment;
 
 use crate::fingerprint::RequestFingerprint;
-use crate::life::LifeTag;
-use crate::news::{CrashNews, LifeNews, RequestNews, SuspectNews, SuspectsTold};
-use crate::record::{CrashRecord, LifeRecord, SuspectRecord};
+use crate::life::InstanceTag;
+use crate::news::{CrashUpdate, InstanceUpdate, RequestUpdate, SuspectCursor, SuspectUpdate};
+use crate::record::{CrashRecord, InstanceRecord, SuspectRecord};
 use crate::verdict::SuspectVerdict;
 
 /// Weight of a crash that is the request's alone. A crash with others near it, of
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct SuspectTable {
     requests: HashMap<RequestFingerprint, SuspectRecord>,
-    lives: HashMap<LifeTag, LifeRecord>,
+    lives: HashMap<InstanceTag, InstanceRecord>,
     changes: u64,
 }
 
@@ -78,7 +78,7 @@
     ///
     /// ```
     /// use onyxfall_policy::Moment;
-    /// use onyxfall_suspects::{FingerprintParts, LifeTag, RequestFingerprint};
+    /// use onyxfall_suspects::{FingerprintParts, InstanceTag, RequestFingerprint};
     /// use onyxfall_suspects::{SuspectTable, SuspectVerdict};
     /// let request = RequestFingerprint::of(&FingerprintParts {
     ///     method: "POST",
@@ -89,12 +89,17 @@
     /// });
     /// let mut table = SuspectTable::default();
     /// for life in ["s1", "s2", "s3"] {
-    ///     table.note_crash(Moment::ZERO, request, LifeTag::of(life));
+    ///     table.record_crash(Moment::ZERO, request, InstanceTag::of(life));
     /// }
     /// let verdict = table.judge(Moment::ZERO, request);
     /// assert!(matches!(verdict, SuspectVerdict::Quarantined { .. }));
     /// ```
-    pub fn note_crash(&mut self, now: Moment, fingerprint: RequestFingerprint, life: LifeTag) {
+    pub fn record_crash(
+        &mut self,
+        now: Moment,
+        fingerprint: RequestFingerprint,
+        life: InstanceTag,
+    ) {
         let survivals = self.lives.get(&life).map_or(0, |record| record.survivals);
         self.take_life(now, life, survivals, Some(now));
         let crash = CrashRecord { at: now, survivals };
@@ -104,10 +109,10 @@
     }
 
     /// Notes a sign of life of a server.
-    pub fn note_alive(&mut self, life: LifeTag, at: Moment) {
+    pub fn record_liveness(&mut self, life: InstanceTag, at: Moment) {
         let number = self.changes + 1;
         if let Some(record) = self.lives.get_mut(&life)
-            && record.note_alive(at)
+            && record.record_liveness(at)
         {
             record.changed = number;
             self.changes = number;
@@ -115,13 +120,13 @@
     }
 
     /// Lives that broke off and of which no sign of life is known since.
-    pub fn lost_lives(&self) -> impl Iterator<Item = LifeTag> {
+    pub fn lost_instances(&self) -> impl Iterator<Item = InstanceTag> {
         let lost = self.lives.iter().filter(|(_, life)| life.lost.is_some());
         lost.map(|(tag, _)| *tag)
     }
 
     /// Notes that a request ran to a good end: what spoke against it no longer does.
-    pub fn note_served(&mut self, fingerprint: RequestFingerprint) {
+    pub fn record_success(&mut self, fingerprint: RequestFingerprint) {
         let number = self.changes + 1;
         if let Some(record) = self.requests.get_mut(&fingerprint)
             && record.len() > 0
@@ -171,9 +176,9 @@
     }
 
     /// What has changed since `told`, the oldest first; a part of it if it is much.
-    pub fn tell(&self, now: Moment, told: &mut SuspectsTold) -> SuspectNews {
+    pub fn tell(&self, now: Moment, told: &mut SuspectCursor) -> SuspectUpdate {
         if told.0 == self.changes {
-            return SuspectNews::default();
+            return SuspectUpdate::default();
         }
         let mut changed: Vec<u64> = self
             .requests
@@ -187,12 +192,12 @@
         let is_due = |number: u64| number > told.0 && number <= up_to;
         let requests = self.requests.iter().filter(|(_, r)| is_due(r.changed));
         let lives = self.lives.iter().filter(|(_, life)| is_due(life.changed));
-        let news = SuspectNews {
+        let news = SuspectUpdate {
             requests: requests
                 .map(|(fingerprint, record)| request_news(now, *fingerprint, record))
                 .collect(),
             lives: lives
-                .map(|(tag, life)| LifeNews {
+                .map(|(tag, life)| InstanceUpdate {
                     life: *tag,
                     survivals: life.survivals,
                     lost: life.lost.map(|at| now - at),
@@ -205,14 +210,14 @@
 
     /// Takes what another VM tells. Returns whether it is to be told on at once: a request
     /// has been on more than one lost server.
-    pub fn take(&mut self, now: Moment, news: &SuspectNews) -> bool {
+    pub fn take(&mut self, now: Moment, news: &SuspectUpdate) -> bool {
         let mut is_urgent = false;
         for life in &news.lives {
             let lost = life.lost.map(|age| now.before(age));
             self.take_life(now, life.life, life.survivals, lost);
         }
         for request in &news.requests {
-            let crashes: Vec<(LifeTag, CrashRecord)> = request
+            let crashes: Vec<(InstanceTag, CrashRecord)> = request
                 .crashes
                 .iter()
                 .map(|crash| {
@@ -243,7 +248,7 @@
     }
 
     /// Takes what is known of a life; one that has never broken off is not kept.
-    fn take_life(&mut self, now: Moment, life: LifeTag, survivals: u32, lost: Option<Moment>) {
+    fn take_life(&mut self, now: Moment, life: InstanceTag, survivals: u32, lost: Option<Moment>) {
         let number = self.changes + 1;
         let record = self.lives.entry(life).or_default();
         if record.note(survivals, lost) {
@@ -258,14 +263,14 @@
         &mut self,
         fingerprint: RequestFingerprint,
         good_runs: u32,
-        crashes: &[(LifeTag, CrashRecord)],
+        crashes: &[(InstanceTag, CrashRecord)],
     ) -> bool {
         let number = self.changes + 1;
         let record = self.requests.entry(fingerprint).or_default();
         let mut is_news = record.note_good_runs(good_runs);
         if good_runs == record.good_runs {
             for (life, crash) in crashes {
-                is_news |= record.note_crash(*life, *crash);
+                is_news |= record.record_crash(*life, *crash);
             }
         }
         if is_news {
@@ -291,7 +296,7 @@
         }
         let beyond = self.lives.len().saturating_sub(MOST_LIVES);
         if beyond > 0 {
-            let mut ranked: Vec<(Moment, LifeTag)> = self
+            let mut ranked: Vec<(Moment, InstanceTag)> = self
                 .lives
                 .iter()
                 .map(|(tag, life)| (life.noted, *tag))
@@ -307,9 +312,9 @@
 /// When the servers broke off that speak against a request: those that did not live on.
 fn counted(
     record: &SuspectRecord,
-    lives: &HashMap<LifeTag, LifeRecord>,
+    lives: &HashMap<InstanceTag, InstanceRecord>,
 ) -> impl Iterator<Item = Moment> {
-    let has_survived = |life: LifeTag, crash: CrashRecord| {
+    let has_survived = |life: InstanceTag, crash: CrashRecord| {
         let known = lives.get(&life);
         known.is_some_and(|known| known.survivals > crash.survivals)
     };
@@ -322,13 +327,13 @@
     now: Moment,
     fingerprint: RequestFingerprint,
     record: &SuspectRecord,
-) -> RequestNews {
-    RequestNews {
+) -> RequestUpdate {
+    RequestUpdate {
         fingerprint,
         good_runs: record.good_runs,
         crashes: record
             .crashes()
-            .map(|(life, crash)| CrashNews {
+            .map(|(life, crash)| CrashUpdate {
                 life,
                 age: now - crash.at,
                 survivals: crash.survivals,
--- a/crates/suspects/tests/innocents.rs
+++ b/crates/suspects/tests/innocents.rs
@@ -11,7 +11,7 @@
 use expect_test::expect;
 use onyxfall_policy::Moment;
 use onyxfall_suspects::{
-    FingerprintParts, LifeTag, RequestFingerprint, SuspectTable, SuspectVerdict,
+    FingerprintParts, InstanceTag, RequestFingerprint, SuspectTable, SuspectVerdict,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -100,7 +100,7 @@
             }
             let ended = |run: &Run| run.ends <= now;
             for run in self.servers[index].runs.extract_if(.., |run| ended(run)) {
-                self.table.note_served(run.request);
+                self.table.record_success(run.request);
             }
             while self.servers[index].runs.len() < RUNS {
                 self.next_request += 1;
@@ -137,13 +137,13 @@
         if now < self.servers[index].down_until {
             return;
         }
-        let life = LifeTag::of(&format!("life{}", self.servers[index].life));
+        let life = InstanceTag::of(&format!("life{}", self.servers[index].life));
         let lost = std::mem::take(&mut self.servers[index].runs);
         self.servers[index].down_until = now + BACK_AFTER;
         self.servers[index].life = self.lives;
         self.lives += 1;
         for run in &lost {
-            self.table.note_crash(now, run.request, life);
+            self.table.record_crash(now, run.request, life);
         }
         for run in lost {
             if run.attempts < ATTEMPTS {
--- a/crates/suspects/tests/verdicts.rs
+++ b/crates/suspects/tests/verdicts.rs
@@ -4,8 +4,8 @@
 
 use onyxfall_policy::Moment;
 use onyxfall_suspects::{
-    FingerprintParts, LifeTag, QUARANTINE, RequestFingerprint, SuspectTable, SuspectVerdict,
-    SuspectsTold,
+    FingerprintParts, InstanceTag, QUARANTINE, RequestFingerprint, SuspectCursor, SuspectTable,
+    SuspectVerdict,
 };
 use proptest::prelude::*;
 
@@ -38,10 +38,10 @@
     for event in events {
         match *event {
             Event::Lost(when, body, life) => {
-                table.note_crash(at(when), request(body), LifeTag::of(life));
+                table.record_crash(at(when), request(body), InstanceTag::of(life));
             }
-            Event::Served(body) => table.note_served(request(body)),
-            Event::Alive(when, life) => table.note_alive(LifeTag::of(life), at(when)),
+            Event::Served(body) => table.record_success(request(body)),
+            Event::Alive(when, life) => table.record_liveness(InstanceTag::of(life), at(when)),
         }
     }
 }
@@ -223,7 +223,7 @@
 fn the_time_told_is_what_is_left_of_the_quarantine() {
     let mut table = SuspectTable::default();
     for (when, life) in [(0, "s1"), (100, "s2"), (400, "s3")] {
-        table.note_crash(at(when), request("a"), LifeTag::of(life));
+        table.record_crash(at(when), request("a"), InstanceTag::of(life));
     }
     let left = QUARANTINE.saturating_sub(Duration::from_mins(1));
     let verdict = table.judge(at(60_400), request("a"));
@@ -234,11 +234,11 @@
 fn tables_are_bounded_and_keep_what_was_on_most_servers() {
     let mut table = SuspectTable::default();
     for life in ["s1", "s2", "s3"] {
-        table.note_crash(at(0), request("guilty"), LifeTag::of(life));
+        table.record_crash(at(0), request("guilty"), InstanceTag::of(life));
     }
     for number in 0..6000 {
         let flood = request(&format!("flood{number}"));
-        table.note_crash(at(10_000 + number), flood, LifeTag::of("s4"));
+        table.record_crash(at(10_000 + number), flood, InstanceTag::of("s4"));
     }
     assert!(table.len() <= 4096, "{} requests are kept", table.len());
     let verdict = table.judge(at(20_000), request("guilty"));
@@ -249,7 +249,7 @@
 
 /// Tells `from`'s news to `to` until nothing is left to tell.
 fn tell_all(now: Moment, from: &SuspectTable, to: &mut SuspectTable) {
-    let mut told = SuspectsTold::default();
+    let mut told = SuspectCursor::default();
     loop {
         let news = from.tell(now, &mut told);
         if news.is_empty() {
@@ -285,7 +285,7 @@
 fn a_break_that_is_told_late_is_no_second_one() {
     for way in [60, 150, 400, 900] {
         let mut tables = [(); 3].map(|()| SuspectTable::default());
-        let mut told = [[SuspectsTold::default(); 3]; 3];
+        let mut told = [[SuspectCursor::default(); 3]; 3];
         let events = [Event::Lost(0, "a", "s1"), Event::Alive(250, "s1")];
         play(&mut tables[0], &events);
         let mut now = 250;
@@ -305,7 +305,10 @@
             "told for {last_round} rounds with ways of {way} ms"
         );
         for table in &tables {
-            assert!(table.lost_lives().next().is_none(), "the server lived on");
+            assert!(
+                table.lost_instances().next().is_none(),
+                "the server lived on"
+            );
         }
     }
 }
@@ -364,7 +367,7 @@
         let mut near = SuspectTable::default();
         let mut far = SuspectTable::default();
         play(&mut near, &all);
-        let (mut told_far, mut told_near) = (SuspectsTold::default(), SuspectsTold::default());
+        let (mut told_far, mut told_near) = (SuspectCursor::default(), SuspectCursor::default());
         let mut rounds = 0;
         loop {
             // Each way takes 60 ms, which makes every age a little older than it is.
--- a/crates/wire/src/member.rs
+++ b/crates/wire/src/member.rs
@@ -1,12 +1,12 @@
 //! Members as frames carry them, and as the table of members holds them.
 
-use onyxfall_policy::MemberBeat;
+use onyxfall_policy::MemberHeartbeat;
 use onyxfall_types::Incarnation;
 
 use crate::message::MemberEntry;
 
-impl From<&MemberBeat> for MemberEntry {
-    fn from(beat: &MemberBeat) -> Self {
+impl From<&MemberHeartbeat> for MemberEntry {
+    fn from(beat: &MemberHeartbeat) -> Self {
         Self {
             name: beat.name.to_string(),
             center: beat.center.to_string(),
@@ -25,8 +25,8 @@
     /// ```
     /// assert!(onyxfall_wire::MemberEntry::default().to_beat().is_none());
     /// ```
-    pub fn to_beat(&self) -> Option<MemberBeat> {
-        Some(MemberBeat {
+    pub fn to_beat(&self) -> Option<MemberHeartbeat> {
+        Some(MemberHeartbeat {
             name: self.name.parse().ok()?,
             center: self.center.parse().ok()?,
             region: self.region.parse().ok()?,
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -40,7 +40,7 @@
     Cancel(AttemptCancel),
     /// Heartbeat and load of an entry.
     #[prost(message, tag = "8")]
-    Beat(EntryBeat),
+    Beat(EntryHeartbeat),
     /// Answer to a heartbeat.
     #[prost(message, tag = "9")]
     Pong(PongReply),
@@ -256,7 +256,7 @@
 
 /// Heartbeat and load of an entry, to the other entries of its data centre.
 #[derive(Clone, PartialEq, Message)]
-pub struct EntryBeat {
+pub struct EntryHeartbeat {
     /// Number within the sender's life.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
@@ -475,7 +475,7 @@
     pub record: Option<VmEntry>,
     /// Which VMs live, if that is news on the link.
     #[prost(message, optional, tag = "3")]
-    pub word: Option<VmWord>,
+    pub word: Option<VmRosterUpdate>,
     /// Work at servers of the region, if the relation tells it.
     #[prost(message, optional, tag = "4")]
     pub work: Option<WorkSet>,
@@ -502,7 +502,7 @@
     pub suspects: Vec<SuspectEntry>,
     /// Lives of servers that broke off, if that is news on the link.
     #[prost(message, repeated, tag = "12")]
-    pub lost_lives: Vec<LostLifeEntry>,
+    pub lost_lives: Vec<LostInstanceEntry>,
 }
 
 /// A request that was on servers that broke off.
@@ -527,7 +527,7 @@
 
 /// A life of a server that broke off.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct LostLifeEntry {
+pub struct LostInstanceEntry {
     /// Its tag.
     #[prost(fixed64, tag = "1")]
     pub life: u64,
@@ -541,7 +541,7 @@
 
 /// Which VMs live: whole at first, then what has changed.
 #[derive(Clone, PartialEq, Message)]
-pub struct VmWord {
+pub struct VmRosterUpdate {
     /// Whom it names, by the order of the scopes.
     #[prost(uint32, tag = "1")]
     pub scope: u32,
