--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -9,17 +9,18 @@
 mod backup;
 mod balance;
 mod budget;
+mod cached_prefixes;
 mod call;
 mod choose;
 mod cold;
 mod flow;
 mod follow;
 mod home;
-mod kept;
+mod instance;
 mod learn;
 mod level;
-mod life;
 mod limit;
+mod liveness;
 mod mirror;
 mod pools;
 mod predict;
@@ -27,12 +28,11 @@
 mod record;
 mod route;
 mod server;
-mod signs;
+mod signals;
 mod switches;
 mod team;
 mod version;
 mod view;
-mod word;
 mod work;
 
 pub use away::{RemoteOption, RemoteSearch, RemoteTable, ServiceLoad, goes_remote};
@@ -44,13 +44,14 @@
 pub use cold::{ColdShare, SENDERS, is_cold_sender};
 pub use follow::{ASK_LIMIT, BEHIND_LIMIT, CATCH_UP_PAUSE, CopyCheck, CopyState};
 pub use home::HomeRegions;
+pub use instance::{ServerInstance, StartTime, StartTimeError};
 pub use learn::{
     CostReport, CostSource, CostView, EngineCosts, EngineLoad, LinearFit, PlainCosts,
     ResponseLengths, RoundTrips, ServiceCosts,
 };
 pub use level::draw_by_level;
-pub use life::{ServerInstance, StartTime, StartTimeError};
 pub use limit::{LimitReports, LimitSignal};
+pub use liveness::ServerVotes;
 pub use mirror::{
     MirrorChange, MirrorDelta, RETURN_WINDOW, StoreEvent, StoreHealth, StoreItem, StoreMirror,
 };
@@ -63,9 +64,8 @@
     RouteRule, RouteTable, RouteTarget,
 };
 pub use server::{AttemptResult, ServerState};
-pub use signs::ServerVotes;
+pub use signals::{BackoffSignal, ServerSignals, SignalChanges};
 pub use switches::{ChoicePolicy, DecisionSwitch, DecisionSwitches, QuotaMode, UnknownName};
 pub use team::{KeyDigest, QuotaLimit, QuotaUnit, TeamRule, TeamTable};
 pub use view::{FleetView, REPREFILL_PENALTY, VmLocation};
-pub use word::{BackoffSignal, ServerSignals, SignalChanges};
 pub use work::{PrefillTokens, URGENCIES, WorkShare};
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -5,7 +5,7 @@
 
 use onyxfall_types::{CenterName, ServerName, ServiceName, SoftwareVersion};
 
-use crate::life::{ServerInstance, StartTime};
+use crate::instance::{ServerInstance, StartTime};
 
 /// Whether a server takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -6,15 +6,15 @@
 use onyxfall_policy::{CircuitBreaker, Moment, ServerBackoff};
 use onyxfall_types::{RegionName, RequestRate};
 
+use crate::cached_prefixes::CachedPrefixes;
 use crate::call::{CallRequirements, PromptSize};
 use crate::cold::ColdShare;
 use crate::flow::FlowMeter;
-use crate::kept::CachedPrefixes;
 use crate::learn::EngineLoad;
 use crate::limit::ServerLimit;
+use crate::liveness::{LivenessRecord, ServerVotes};
 use crate::record::{ServerPhase, ServerRecord};
-use crate::signs::{LivenessRecord, ServerVotes};
-use crate::word::{AMBIGUOUS_DRAINING, AmbiguousSignals};
+use crate::signals::{AMBIGUOUS_DRAINING, AmbiguousSignals};
 use crate::work::{PrefillTokens, WorkShare};
 
 /// Time in which what came to a server fades to a third: long enough for a steady
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -19,8 +19,8 @@
 use crate::balance::RateTable;
 use crate::call::CallRequirements;
 use crate::flow::FlowMeter;
+use crate::instance::StartTime;
 use crate::learn::ServiceCosts;
-use crate::life::StartTime;
 use crate::pools::{
     DormantServer, LEAST_WORKING, PoolId, PoolKey, PoolPosition, PoolServer, PoolTable,
 };
