--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -5,7 +5,6 @@
 //! of the loop share; it is borrowed for a decision and never across an await.
 //! Only the writer of logs has a thread of its own.
 
-mod asking;
 mod attempt;
 mod backup;
 mod body;
@@ -20,7 +19,6 @@
 mod links;
 mod listen;
 mod metrics;
-mod news;
 mod open;
 mod pool;
 mod relay;
@@ -31,16 +29,18 @@
 mod serve;
 mod settings;
 mod share;
-mod silence;
 mod stop;
 mod store;
+mod store_changes;
 mod store_client;
 mod stream;
 mod suspects;
 mod suspension;
 mod teams;
+mod unresponsive;
 mod updates;
 mod words;
+mod work_queries;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
