--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small deployment in one process: stand-ins, entries, an operator pair.
+//! A small deployment in one process: stubs, entries and two operators.
 
 #![allow(dead_code, reason = "each test file uses a part of the support")]
 
@@ -17,14 +17,14 @@
 use onyxfall_platform::{PlatformClient, PlatformSettings};
 use onyxfall_types::RegionName;
 
-/// Longest wait for what must happen; far above what it takes.
+/// Timeout for an expected event; far above the usual time.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
 /// Polls until `test` holds.
 pub fn wait_until(what: &str, test: impl Fn() -> bool) {
     let until = Instant::now() + PATIENCE;
     while !test() {
-        assert!(Instant::now() < until, "waited in vain: {what}");
+        assert!(Instant::now() < until, "timed out: {what}");
         thread::sleep(Duration::from_millis(10));
     }
 }
@@ -33,9 +33,8 @@
     TcpListener::bind(format!("127.0.{region}.1:0")).unwrap()
 }
 
-/// An address for an entry, which is bound again when the entry is restarted:
-/// below the range from which the system takes ports for connections, so that
-/// none of those can take it in between.
+/// An unused address for an entry, which is bound again when the entry restarts. The
+/// port is below the range of ephemeral ports, so that no connection takes it meanwhile.
 fn free_address(region: usize) -> SocketAddr {
     const FIRST: u16 = 10_000;
     const COUNT: u16 = 20_000;
@@ -52,15 +51,15 @@
 
 /// Addresses of one entry.
 #[derive(Clone, Copy)]
-struct EntryPlace {
+struct EntryAddresses {
     region: usize,
     callers: SocketAddr,
     peers: SocketAddr,
     advertised: SocketAddr,
 }
 
-/// A name that no other deployment has: entries left over from one test must
-/// not take those of another, on a port used again, for their peers.
+/// A unique deployment name. Entries left over from one test must not accept those of
+/// another test, which may reuse a port, as peers.
 fn unique_name() -> String {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     format!(
@@ -76,25 +75,25 @@
     pub platform: FakePlatform,
     pub rules: Arc<LinkRules>,
     pub secrets: [SigningSecret; 2],
-    places: Vec<EntryPlace>,
+    addresses: Vec<EntryAddresses>,
     pub entries: Vec<Option<EntryProcess>>,
     seeds: usize,
     links: Vec<FakeLink>,
 }
 
 impl TestDeployment {
-    /// Places entries in regions (one for each number, which names its region)
-    /// without starting them.
+    /// Creates a deployment with one entry for each number in `regions`, which is the
+    /// number of its region. The entries are not started.
     pub fn new(regions: &[usize]) -> Self {
         let platform = FakePlatform::start(loopback(0)).unwrap();
         let rules = LinkRules::new(Duration::from_millis(2));
-        let mut places = Vec::new();
+        let mut addresses = Vec::new();
         let mut links = Vec::new();
         for region in regions {
             let peers = free_address(*region);
             let link = FakeLink::start(loopback(*region), peers, Arc::clone(&rules)).unwrap();
             let callers = free_address(*region);
-            places.push(EntryPlace {
+            addresses.push(EntryAddresses {
                 region: *region,
                 callers,
                 peers,
@@ -112,19 +111,19 @@
             platform,
             rules,
             secrets,
-            places,
+            addresses,
             entries,
             seeds,
             links,
         }
     }
 
-    /// Lets entries know only the first one without the platform.
+    /// Configures only the first entry as a seed.
     pub fn seed_only_first(&mut self) {
         self.seeds = 1;
     }
 
-    /// Starts every entry and rolls `servers_and_kinds` as the first bundle.
+    /// Starts every entry and rolls out `servers_and_kinds` as the first bundle.
     pub fn start(regions: &[usize], servers_and_kinds: &str) -> Self {
         let mut deployment = Self::new(regions);
         for index in 0..regions.len() {
@@ -147,7 +146,7 @@
         let settings = parse_settings("test.ini", &self.settings(index)).unwrap();
         let until = Instant::now() + PATIENCE;
         loop {
-            // A killed entry's listener closes a moment after the kill.
+            // The listener of a killed entry closes shortly after the kill.
             match EntryProcess::start(settings.clone()) {
                 Ok(entry) => {
                     self.entries[index] = Some(entry);
@@ -160,8 +159,8 @@
     }
 
     pub fn settings(&self, index: usize) -> String {
-        let place = self.places[index];
-        let region = place.region;
+        let entry = self.addresses[index];
+        let region = entry.region;
         let mut text = format!(
             "[vm]\nname = vm-{index}\ndata-centre = c{region}\nregion = r{region}\n\
              deployment = {}\n[listen]\ncallers = {}\npeers = {}\npeers-advertised = {}\n\
@@ -171,36 +170,36 @@
              [control]\nbeat-ms = 100\ndata-centre-beat-ms = 100\nobserve-ms = 50\n\
              suspect-ms = 2000\ngone-ms = 8000\n[stop]\ngrace-ms = 200\nbound-ms = 20000\n",
             self.name,
-            place.callers,
-            place.peers,
-            place.advertised,
+            entry.callers,
+            entry.peers,
+            entry.advertised,
             self.platform.url(),
         );
         for (name, secret) in ["ann", "ben"].iter().zip(&self.secrets) {
             let _ = write!(text, "[operator {name}]\nkey = {}\n", secret.public());
         }
-        let seeds = self.places.iter().take(self.seeds).enumerate();
-        for (other, place) in seeds.filter(|(other, _)| *other != index) {
+        let seeds = self.addresses.iter().take(self.seeds).enumerate();
+        for (other, entry) in seeds.filter(|(other, _)| *other != index) {
             let _ = write!(
                 text,
                 "[peer vm-{other}]\ndata-centre = c{0}\nregion = r{0}\ncallers = {1}\npeers = {2}\n",
-                place.region, place.callers, place.advertised
+                entry.region, entry.callers, entry.advertised
             );
         }
         text
     }
 
     pub fn callers(&self, index: usize) -> SocketAddr {
-        self.places[index].callers
+        self.addresses[index].callers
     }
 
     pub fn peers(&self, index: usize) -> SocketAddr {
-        self.places[index].peers
+        self.addresses[index].peers
     }
 
     pub fn bundle(&self, servers_and_kinds: &str) -> String {
         let mut text = format!("[bundle]\nname = {}\nregion-rtt-ms = 4\n", self.name);
-        let mut regions: Vec<usize> = self.places.iter().map(|place| place.region).collect();
+        let mut regions: Vec<usize> = self.addresses.iter().map(|entry| entry.region).collect();
         regions.sort_unstable();
         regions.dedup();
         for region in regions {
@@ -235,9 +234,9 @@
 
     pub fn roll(&self, content: ContentDigest) -> HeadRecord {
         let mut regions: Vec<RegionName> = self
-            .places
+            .addresses
             .iter()
-            .map(|place| format!("r{}", place.region).parse().unwrap())
+            .map(|entry| format!("r{}", entry.region).parse().unwrap())
             .collect();
         regions.sort();
         regions.dedup();
@@ -249,14 +248,14 @@
         self.operator(0).roll(&plan, |_| {}).unwrap()
     }
 
-    /// Waits until every running entry serves its region's version of the head.
+    /// Waits until every running entry has its region's version of the head in force.
     pub fn wait_in_force(&self, content: ContentDigest) {
         let head = self.operator(0).head().unwrap();
-        for (index, place) in self.places.iter().enumerate() {
+        for (index, entry) in self.addresses.iter().enumerate() {
             if self.entries[index].is_none() {
                 continue;
             }
-            let region: RegionName = format!("r{}", place.region).parse().unwrap();
+            let region: RegionName = format!("r{}", entry.region).parse().unwrap();
             let record = &head.regions[&region];
             assert_eq!(record.content, content);
             wait_until("the version is in force", || {
@@ -282,12 +281,12 @@
     }
 }
 
-/// What a caller saw.
+/// The response that a caller received.
 #[derive(Clone, Debug, Default)]
 pub struct TestAnswer {
     pub status: u16,
     pub verdict: String,
-    /// Seconds after which the caller may come back; empty if none are told.
+    /// Value of the `retry-after` header in seconds; empty if there is none.
     pub retry_after: String,
     pub request_id: String,
     pub region: String,
@@ -346,21 +345,21 @@
 }
 
 pub fn call(address: SocketAddr, path: &str, headers: &[(&str, &str)], body: &str) -> TestAnswer {
-    try_call(address, "POST", path, headers, body).expect("an answer")
+    try_call(address, "POST", path, headers, body).expect("a response")
 }
 
-/// What a raw backend does with a request that it has read.
+/// Reaction of a raw backend server to a request.
 #[derive(Clone, Copy, Debug)]
 pub enum RawBehaviour {
-    /// Answers with these bytes and closes.
+    /// Sends these bytes and closes the connection.
     Answer(&'static str),
-    /// Resets the connection without an answer.
+    /// Resets the connection without a response.
     Reset,
-    /// Never answers.
+    /// Never responds.
     Silent,
 }
 
-/// A backend server that speaks raw bytes and counts what it was sent.
+/// A backend server that sends raw bytes and counts the requests that it receives.
 pub struct RawBackend {
     pub address: SocketAddr,
     pub requests: Arc<AtomicUsize>,
