--- a/crates/clock/benches/read.rs
+++ b/crates/clock/benches/read.rs
@@ -1,4 +1,4 @@
-//! What a reading of the clock costs, beside the steady clock that it took the place of.
+//! Cost of reading the boot-time clock, compared with the monotonic clock.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -7,12 +7,12 @@
 use onyxfall_clock::{BootInstant, SuspensionWatch};
 
 fn read(c: &mut Criterion) {
-    c.bench_function("steady clock", |b| b.iter(|| black_box(Instant::now())));
-    c.bench_function("clock that counts suspension", |b| {
+    c.bench_function("monotonic clock", |b| b.iter(|| black_box(Instant::now())));
+    c.bench_function("boot-time clock", |b| {
         b.iter(|| black_box(BootInstant::now()));
     });
     let mut watch = SuspensionWatch::start();
-    c.bench_function("look for a suspension", |b| {
+    c.bench_function("check for a suspension", |b| {
         let now = BootInstant::now();
         b.iter(|| black_box(watch.look(black_box(now))));
     });
--- a/crates/clock/src/instant.rs
+++ b/crates/clock/src/instant.rs
@@ -1,4 +1,4 @@
-//! Points in time that count suspension.
+//! Points in time of the boot-time clock, which includes suspensions.
 
 use std::ops::{Add, Sub};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,17 +6,18 @@
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// How far the clock was moved on, in microseconds.
+/// Offset of the clock of this process from that of the machine, in microseconds.
 static AHEAD: AtomicU64 = AtomicU64::new(0);
 
-/// Moves the clock of this process on to `ahead` of the machine's, as a suspension would;
-/// it never goes back. For tests: a suspension needs rights that they do not have.
+/// Advances the clock of this process to `ahead` of the machine's clock, as a suspension
+/// would; the offset never decreases. For tests, which lack the privileges to suspend the
+/// machine.
 pub fn advance_clock(ahead: Duration) {
     let micros = u64::try_from(ahead.as_micros()).unwrap_or(u64::MAX);
     AHEAD.fetch_max(micros, Ordering::Relaxed);
 }
 
-/// A point in time, from the machine's start, suspensions included.
+/// A point in time since the boot of the machine, including suspensions.
 ///
 /// ```
 /// use onyxfall_clock::BootInstant;
@@ -29,7 +30,7 @@
 pub struct BootInstant(Duration);
 
 impl BootInstant {
-    /// The present.
+    /// The current time.
     pub fn now() -> Self {
         let read = clock_gettime(ClockId::Boottime);
         let seconds = u64::try_from(read.tv_sec).unwrap_or_default();
@@ -38,12 +39,12 @@
         Self(Duration::new(seconds, nanos) + ahead)
     }
 
-    /// Time since then.
+    /// Time since this instant.
     pub fn elapsed(self) -> Duration {
         Self::now() - self
     }
 
-    /// Time from `earlier` to this; zero if that is later.
+    /// Time from `earlier` to this instant; zero if `earlier` is later.
     #[must_use]
     pub fn saturating_duration_since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,8 +1,8 @@
-//! The clock of everything that has an age: leases, knowledge, windows, deadlines.
+//! The clock for everything that ages: leases, cached state, time windows, deadlines.
 //!
-//! A machine may be suspended for seconds. The steady clock stands still meanwhile, so
-//! that all that is old looks fresh afterwards. The clock here counts that time too. This
-//! crate is the one place that reads it; pure code gets moments as arguments.
+//! A machine may be suspended for seconds. The monotonic clock stops meanwhile, so that stale
+//! state would appear fresh afterwards. The boot-time clock of this crate includes the time of
+//! suspensions. This crate is the only one that reads it; pure code takes times as arguments.
 
 mod instant;
 mod suspension;
--- a/crates/clock/src/suspension.rs
+++ b/crates/clock/src/suspension.rs
@@ -1,25 +1,25 @@
-//! Whether the machine was suspended.
+//! Detection of suspensions of the machine.
 
 use std::time::{Duration, Instant};
 
 use crate::instant::BootInstant;
 
-/// Least difference between the clocks that is taken for a suspension: readings of the two
-/// may lie a lost turn of the processor apart, a tenth of a second.
-const LEAST: Duration = Duration::from_millis(300);
+/// Minimum difference between the clocks that counts as a suspension. If the thread is
+/// descheduled between the readings of the two clocks, they may differ by 0.1 s.
+const MIN_SUSPENSION: Duration = Duration::from_millis(300);
 
-/// Notices suspensions by what the steady clock does not count. The only place that needs
-/// the steady clock.
+/// Detects suspensions by the difference between the boot-time clock and the monotonic
+/// clock, which stops during them. No other code needs the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct SuspensionWatch {
-    steady: Instant,
+    monotonic: Instant,
     boot: BootInstant,
-    /// The last look.
-    looked: BootInstant,
+    /// Time of the last check.
+    last_check: BootInstant,
 }
 
 impl SuspensionWatch {
-    /// Looks from now on.
+    /// Starts to watch for suspensions.
     ///
     /// ```
     /// use onyxfall_clock::{BootInstant, SuspensionWatch};
@@ -28,27 +28,28 @@
     pub fn start() -> Self {
         let boot = BootInstant::now();
         Self {
-            steady: Instant::now(),
+            monotonic: Instant::now(),
             boot,
-            looked: boot,
+            last_check: boot,
         }
     }
 
-    /// How long the machine was suspended since the last suspension that was noticed, if
-    /// it was; `now` is the present, which a caller mostly has at hand.
+    /// Checks for a suspension since the last one that was detected, and returns its duration.
+    /// `now` is the current time, which most callers have already read.
     pub fn look(&mut self, now: BootInstant) -> Option<Duration> {
-        // No suspension fits between two looks that are closer, so that most looks, one for
-        // each request, read no clock: 5 ns instead of 51 (the benchmark of this crate).
-        let since = now - std::mem::replace(&mut self.looked, now);
-        if since < LEAST {
+        // No suspension fits between two checks that are closer than the minimum, so most
+        // checks, one for each request, read no clock: 5 ns instead of 51 ns (benchmark of
+        // this crate).
+        let since = now - std::mem::replace(&mut self.last_check, now);
+        if since < MIN_SUSPENSION {
             return None;
         }
-        let running = self.steady.elapsed();
-        let away = (now - self.boot).saturating_sub(running);
-        if away < LEAST {
+        let running = self.monotonic.elapsed();
+        let suspended = (now - self.boot).saturating_sub(running);
+        if suspended < MIN_SUSPENSION {
             return None;
         }
         *self = Self::start();
-        Some(away)
+        Some(suspended)
     }
 }
--- a/crates/http/src/cancel.rs
+++ b/crates/http/src/cancel.rs
@@ -1,4 +1,4 @@
-//! Telling the threads of a request that its caller went away.
+//! Cancellation: notifies the threads of a request that its caller has disconnected.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
     hooks: BTreeMap<u64, HookFn>,
 }
 
-/// Shared flag with hooks; once cancelled it stays so.
+/// A shared flag with hooks; cancellation is permanent.
 ///
 /// ```
 /// use onyxfall_http::CancelToken;
@@ -30,12 +30,12 @@
 }
 
 impl CancelToken {
-    /// A token that is not cancelled.
+    /// Creates a token that is not cancelled.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Cancels; hooks run once, on this thread.
+    /// Cancels the token; the hooks run once, on the calling thread.
     pub fn cancel(&self) {
         let hooks = {
             let mut state = self.state.lock();
@@ -47,13 +47,13 @@
         }
     }
 
-    /// Whether it was cancelled.
+    /// Whether the token is cancelled.
     pub fn is_cancelled(&self) -> bool {
         self.state.lock().cancelled
     }
 
-    /// Runs `hook` on cancel, or now if that has happened; dropping the
-    /// returned value takes the hook back.
+    /// Runs `hook` on cancellation, or immediately if the token is already cancelled;
+    /// dropping the returned value removes the hook.
     pub fn on_cancel(&self, hook: impl FnOnce() + Send + 'static) -> CancelHook {
         let mut state = self.state.lock();
         if state.cancelled {
@@ -74,7 +74,7 @@
     }
 }
 
-/// Keeps a hook registered while it lives.
+/// Keeps a hook registered until it is dropped.
 pub struct CancelHook {
     token: CancelToken,
     key: Option<u64>,
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,16 +1,15 @@
-//! The HTTP edge: `hyper` in front of blocking request handlers.
+//! HTTP server: `hyper` in front of blocking request handlers.
 //!
-//! Connections are driven by a small `tokio` runtime; every request runs on a
-//! thread of its own with a small stack, so that handlers block, as the rest of
-//! the system does. The edge exists because four promises need what a purely
-//! blocking server cannot give: a full server refuses instead of hanging, a
-//! caller that goes away is noticed before the first byte of the answer, each
-//! streamed chunk leaves at once, and a planned stop closes the listener and
-//! lets open answers finish.
+//! A small `tokio` runtime drives the connections. Every request runs on its own thread with
+//! a small stack, so that handlers may block, as the rest of the gateway does. A purely
+//! blocking server cannot give four guarantees that are needed: an overloaded server rejects
+//! requests instead of hanging, the disconnect of a caller is detected before the first byte
+//! of the response, each streamed chunk is sent immediately, and a graceful shutdown closes
+//! the listener and lets open responses finish.
 //!
-//! Invariants: a handler that ends without an answer yields an error answer,
-//! and a stream that ends without [`StreamSender::finish`] breaks the chunked
-//! body, so that half an answer never looks whole.
+//! Invariants: a handler that ends without a response yields an error response, and a stream
+//! that ends without [`StreamSender::finish`] leaves the chunked body incomplete, so that a
+//! truncated response never appears complete.
 
 mod cancel;
 mod reply;
@@ -18,6 +17,6 @@
 mod server;
 
 pub use cancel::{CancelHook, CancelToken};
-pub use reply::{CallerGone, HttpReply, ReplyBody, Responder, StreamSender};
+pub use reply::{CallerDisconnected, HttpReply, ReplyBody, Responder, StreamSender};
 pub use request::{BodyError, HttpRequest};
 pub use server::{HttpLimits, HttpServer};
--- a/crates/http/src/reply.rs
+++ b/crates/http/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers: whole, or streamed by the handler's thread.
+//! Responses, sent whole or streamed by the thread of the handler.
 
 use std::future::Future;
 use std::io;
@@ -15,12 +15,12 @@
 
 use crate::cancel::CancelToken;
 
-/// Chunks that may wait for a slow caller before the handler blocks.
+/// Number of chunks that are queued for a slow caller before the handler blocks.
 const STREAM_DEPTH: usize = 16;
-/// Time for the last bytes to leave before a broken answer is cut.
-const BREAK_PAUSE: Duration = Duration::from_millis(50);
+/// Time to send the last bytes of an incomplete response before the connection is closed.
+const ABORT_DELAY: Duration = Duration::from_millis(50);
 
-/// Status, headers and body of an answer.
+/// Status, headers and body of a response.
 pub struct HttpReply {
     /// Status code.
     pub status: StatusCode,
@@ -30,16 +30,16 @@
     pub body: ReplyBody,
 }
 
-/// Body of an answer.
+/// Body of a response.
 pub enum ReplyBody {
     /// The whole body.
     Full(Bytes),
-    /// Chunks sent by the handler afterwards.
+    /// Chunks that the handler sends afterwards.
     Stream,
 }
 
 impl HttpReply {
-    /// A whole answer.
+    /// Creates a response with a whole body.
     pub fn full(status: u16, content_type: &str, body: impl Into<Bytes>) -> Self {
         let reply = Self {
             status: StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR),
@@ -49,14 +49,14 @@
         reply.with_header("content-type", content_type)
     }
 
-    /// A streamed answer.
+    /// Creates a response with a streamed body.
     pub fn stream(status: u16, content_type: &str) -> Self {
         let mut reply = Self::full(status, content_type, Bytes::new());
         reply.body = ReplyBody::Stream;
         reply
     }
 
-    /// Adds a header; a value that no header can hold is left out.
+    /// Adds a header; an invalid value is ignored.
     #[must_use]
     pub fn with_header(mut self, name: &str, value: &str) -> Self {
         let name = HeaderName::try_from(name);
@@ -69,11 +69,11 @@
     }
 }
 
-/// The caller is gone, or too slow for the limit.
+/// The caller has disconnected, or has exceeded the stall timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CallerGone;
+pub struct CallerDisconnected;
 
-/// Answers one request; dropped without an answer it yields a 500.
+/// Responds to one request; if it is dropped unused, the response is a 500.
 pub struct Responder {
     pub(crate) sender: oneshot::Sender<(HttpReply, Option<mpsc::Receiver<Chunk>>)>,
     pub(crate) handle: Handle,
@@ -81,27 +81,29 @@
 }
 
 impl Responder {
-    /// Sends a whole answer.
+    /// Sends a response with a whole body.
     ///
     /// # Errors
     ///
-    /// The caller is gone.
-    pub fn reply(self, reply: HttpReply) -> Result<(), CallerGone> {
+    /// The caller has disconnected.
+    pub fn reply(self, reply: HttpReply) -> Result<(), CallerDisconnected> {
         debug_assert!(matches!(reply.body, ReplyBody::Full(_)));
-        self.sender.send((reply, None)).map_err(|_| CallerGone)
+        self.sender
+            .send((reply, None))
+            .map_err(|_| CallerDisconnected)
     }
 
-    /// Sends status and headers and returns where chunks go.
+    /// Sends status and headers, and returns the sender of the chunks.
     ///
     /// # Errors
     ///
-    /// The caller is gone.
-    pub fn stream(self, reply: HttpReply) -> Result<StreamSender, CallerGone> {
+    /// The caller has disconnected.
+    pub fn stream(self, reply: HttpReply) -> Result<StreamSender, CallerDisconnected> {
         debug_assert!(matches!(reply.body, ReplyBody::Stream));
         let (sender, receiver) = mpsc::channel(STREAM_DEPTH);
         self.sender
             .send((reply, Some(receiver)))
-            .map_err(|_| CallerGone)?;
+            .map_err(|_| CallerDisconnected)?;
         Ok(StreamSender {
             sender,
             handle: self.handle,
@@ -115,9 +117,9 @@
     Finish,
 }
 
-/// Sends the chunks of a streamed answer.
+/// Sends the chunks of a streamed response.
 ///
-/// Dropping it without [`Self::finish`] breaks the body.
+/// If it is dropped without [`Self::finish`], the body is left incomplete.
 pub struct StreamSender {
     sender: mpsc::Sender<Chunk>,
     handle: Handle,
@@ -125,39 +127,39 @@
 }
 
 impl StreamSender {
-    /// Sends a chunk; blocks while the caller is slow, up to the stall limit.
+    /// Sends a chunk; blocks while the caller is slow, up to the stall timeout.
     ///
     /// # Errors
     ///
-    /// The caller is gone or stalled.
-    pub fn send(&self, bytes: Bytes) -> Result<(), CallerGone> {
+    /// The caller has disconnected or stalled.
+    pub fn send(&self, bytes: Bytes) -> Result<(), CallerDisconnected> {
         self.push(Chunk::Data(bytes))
     }
 
-    /// Ends the body as whole.
+    /// Ends the body as complete.
     ///
     /// # Errors
     ///
-    /// The caller is gone or stalled.
-    pub fn finish(self) -> Result<(), CallerGone> {
+    /// The caller has disconnected or stalled.
+    pub fn finish(self) -> Result<(), CallerDisconnected> {
         self.push(Chunk::Finish)
     }
 
-    fn push(&self, chunk: Chunk) -> Result<(), CallerGone> {
+    fn push(&self, chunk: Chunk) -> Result<(), CallerDisconnected> {
         let Err(full) = self.sender.try_send(chunk) else {
             return Ok(());
         };
         let chunk = match full {
-            mpsc::error::TrySendError::Closed(_) => return Err(CallerGone),
+            mpsc::error::TrySendError::Closed(_) => return Err(CallerDisconnected),
             mpsc::error::TrySendError::Full(chunk) => chunk,
         };
         self.handle
             .block_on(self.sender.send_timeout(chunk, self.stall_timeout))
-            .map_err(|_| CallerGone)
+            .map_err(|_| CallerDisconnected)
     }
 }
 
-/// Cancels its token unless the whole answer left.
+/// Cancels its token on drop, unless [`Self::disarm`] was called for a complete response.
 pub(crate) struct CancelOnDrop {
     token: Option<CancelToken>,
 }
@@ -180,19 +182,19 @@
     }
 }
 
-/// A streamed body on its way to the caller.
+/// A streamed body that is being sent to the caller.
 pub(crate) struct StreamBody {
     receiver: mpsc::Receiver<Chunk>,
     guard: CancelOnDrop,
     state: StreamState,
 }
 
-/// How far a streamed body has come.
+/// Progress of a streamed body.
 enum StreamState {
     Open,
-    /// Broken off: what was sent before is given time to leave, since `hyper`
-    /// drops its buffer when a body fails.
-    Breaking(Pin<Box<Sleep>>),
+    /// The handler ended without finishing. The error is delayed so that earlier chunks are
+    /// sent, since `hyper` drops its buffer when a body fails.
+    Aborting(Pin<Box<Sleep>>),
     Ended,
 }
 
@@ -212,10 +214,10 @@
         loop {
             match &mut self.state {
                 StreamState::Ended => return Poll::Ready(None),
-                StreamState::Breaking(pause) => {
-                    ready!(pause.as_mut().poll(cx));
+                StreamState::Aborting(delay) => {
+                    ready!(delay.as_mut().poll(cx));
                     self.state = StreamState::Ended;
-                    return Poll::Ready(Some(Err(io::Error::other("answer broke off"))));
+                    return Poll::Ready(Some(Err(io::Error::other("response body is incomplete"))));
                 }
                 StreamState::Open => match ready!(self.receiver.poll_recv(cx)) {
                     Some(Chunk::Data(bytes)) => return Poll::Ready(Some(Ok(Frame::data(bytes)))),
@@ -224,8 +226,8 @@
                         self.guard.disarm();
                     }
                     None => {
-                        let pause = Box::pin(tokio::time::sleep(BREAK_PAUSE));
-                        self.state = StreamState::Breaking(pause);
+                        let delay = Box::pin(tokio::time::sleep(ABORT_DELAY));
+                        self.state = StreamState::Aborting(delay);
                     }
                 },
             }
@@ -233,13 +235,13 @@
     }
 }
 
-/// The body handed to `hyper`.
-pub(crate) enum EdgeBody {
+/// The response body that is passed to `hyper`.
+pub(crate) enum ServerBody {
     Full(Option<Bytes>),
     Stream(StreamBody),
 }
 
-impl Body for EdgeBody {
+impl Body for ServerBody {
     type Data = Bytes;
     type Error = io::Error;
 
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -1,4 +1,4 @@
-//! A request as its handler sees it.
+//! Requests, as handlers receive them.
 
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
 /// Why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// It exceeds the limit.
+    /// The body exceeds the limit.
     TooLarge,
-    /// It came too slowly.
+    /// The body was not received in time.
     TimedOut,
-    /// The caller broke off.
+    /// The caller disconnected.
     Broken,
 }
 
@@ -26,7 +26,7 @@
 pub struct HttpRequest {
     /// Method, path and headers.
     pub head: Parts,
-    /// Cancelled when the caller goes away before the whole answer left.
+    /// Cancelled when the caller disconnects before the whole response is sent.
     pub cancel: CancelToken,
     pub(crate) body: Option<Incoming>,
     pub(crate) handle: Handle,
@@ -39,7 +39,7 @@
         self.head.uri.path()
     }
 
-    /// A header's value, if it is there and is text.
+    /// The value of a header, if it is present and is text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.headers.get(name)?.to_str().ok()
     }
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     ///
-    /// The body is too large, too slow or broken off.
+    /// The body is too large, too slow or incomplete.
     pub fn read_body(&mut self, limit: ByteSize) -> Result<Bytes, BodyError> {
         let Some(body) = self.body.take() else {
             return Ok(Bytes::new());
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! The listener, its limits and its planned stop.
+//! The listener, its limits and its graceful shutdown.
 
 use std::convert::Infallible;
 use std::io;
@@ -18,34 +18,34 @@
 use tokio::sync::{oneshot, watch};
 
 use crate::cancel::CancelToken;
-use crate::reply::{CancelOnDrop, EdgeBody, HttpReply, ReplyBody, Responder, StreamBody};
+use crate::reply::{CancelOnDrop, HttpReply, ReplyBody, Responder, ServerBody, StreamBody};
 use crate::request::HttpRequest;
 
-/// Stack of a handler thread.
+/// Stack size of a handler thread.
 const HANDLER_STACK: usize = 256 * 1024;
-/// Pause after a failed accept (out of descriptors), so that it does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Least buffer that `hyper` accepts for a request head.
+/// Delay after a failed accept (out of file descriptors), to avoid a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Smallest buffer that `hyper` accepts for a request head.
 const MIN_HEAD_BYTES: usize = 8192;
 
-/// Limits of a listener; every one is enforced by an answer or a close.
+/// Limits of a server; exceeding one yields an error response or closes the connection.
 #[derive(Clone)]
 pub struct HttpLimits {
-    /// Connections open at once; more are closed on accept.
+    /// Maximum number of open connections; further ones are closed on accept.
     pub max_connections: usize,
-    /// Requests handled at once; more get [`Self::overload_reply`].
+    /// Maximum number of concurrent requests; further ones get [`Self::overload_reply`].
     pub max_requests: usize,
-    /// Largest request head.
+    /// Maximum size of a request head.
     pub max_head: ByteSize,
-    /// Time for a request head to come, idle time between requests included.
+    /// Timeout for a request head, including the idle time between requests.
     pub head_timeout: Duration,
-    /// Time for a body to come.
+    /// Timeout for a request body.
     pub body_timeout: Duration,
-    /// Time for which a caller may leave a streamed answer unread.
+    /// Time for which a caller may stop reading a streamed response.
     pub stall_timeout: Duration,
     /// Threads that drive connections.
     pub io_threads: usize,
-    /// Answer when `max_requests` are being handled.
+    /// Response when `max_requests` are being handled.
     pub overload_reply: fn() -> HttpReply,
 }
 
@@ -83,7 +83,7 @@
 pub struct HttpServer {
     address: SocketAddr,
     shared: Arc<ServerShared>,
-    stop: watch::Sender<bool>,
+    shutdown_signal: watch::Sender<bool>,
     done: Option<oneshot::Receiver<()>>,
     runtime: Option<Runtime>,
 }
@@ -127,41 +127,41 @@
             let _guard = runtime.enter();
             tokio::net::TcpListener::from_std(listener)?
         };
-        let (stop, stop_seen) = watch::channel(false);
+        let (shutdown_signal, shutdown) = watch::channel(false);
         let (done_sender, done) = oneshot::channel();
         let accept_shared = Arc::clone(&shared);
         runtime.spawn(async move {
-            accept_loop(listener, accept_shared, stop_seen).await;
+            accept_loop(listener, accept_shared, shutdown).await;
             let _ = done_sender.send(());
         });
         Ok(Self {
             address,
             shared,
-            stop,
+            shutdown_signal,
             done: Some(done),
             runtime: Some(runtime),
         })
     }
 
-    /// Address that it listens on.
+    /// Address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Requests being handled now.
+    /// Number of requests that are being handled.
     pub fn open_requests(&self) -> usize {
         self.shared.requests.load(Ordering::SeqCst)
     }
 
-    /// Closes the listener, lets open answers finish for at most `bound`, and
-    /// returns how many were cut off.
+    /// Closes the listener, lets open responses finish for at most `bound`, and returns the
+    /// number of requests that were cut off.
     pub fn shutdown(mut self, bound: Duration) -> usize {
-        let _ = self.stop.send(true);
+        let _ = self.shutdown_signal.send(true);
         if let (Some(done), Some(runtime)) = (self.done.take(), &self.runtime) {
             let ended = runtime.block_on(async { tokio::time::timeout(bound, done).await });
             if ended.is_ok() {
-                // Every connection has ended; a handler that is still on its way
-                // back from its answer was not cut.
+                // Every connection has ended, so no response was cut off, even if a handler
+                // has not returned yet.
                 return 0;
             }
         }
@@ -180,19 +180,19 @@
 async fn accept_loop(
     listener: tokio::net::TcpListener,
     shared: Arc<ServerShared>,
-    mut stop: watch::Receiver<bool>,
+    mut shutdown: watch::Receiver<bool>,
 ) {
     let graceful = GracefulShutdown::new();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = stop.changed() => break,
+            _ = shutdown.changed() => break,
         };
         match accepted {
             Ok((stream, _)) => serve_connection(stream, &shared, &graceful),
             Err(e) => {
                 log::warn!("accept failed: {e}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -205,10 +205,10 @@
     shared: &Arc<ServerShared>,
     graceful: &GracefulShutdown,
 ) {
-    let open = Occupied::new(shared, |shared| &shared.connections);
+    let open = CounterGuard::new(shared, |shared| &shared.connections);
     if open.count > shared.limits.max_connections {
         log::warn!(
-            "connection closed: {} are open",
+            "connection rejected: the limit of {} open connections is reached",
             shared.limits.max_connections
         );
         return;
@@ -217,7 +217,7 @@
     let service_shared = Arc::clone(shared);
     let service = service_fn(move |request| {
         let shared = Arc::clone(&service_shared);
-        async move { Ok::<_, Infallible>(answer(request, shared).await) }
+        async move { Ok::<_, Infallible>(respond(request, shared).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -233,8 +233,8 @@
     });
 }
 
-async fn answer(request: Request<Incoming>, shared: Arc<ServerShared>) -> Response<EdgeBody> {
-    let open = Occupied::new(&shared, |shared| &shared.requests);
+async fn respond(request: Request<Incoming>, shared: Arc<ServerShared>) -> Response<ServerBody> {
+    let open = CounterGuard::new(&shared, |shared| &shared.requests);
     if open.count > shared.limits.max_requests {
         return into_response((shared.limits.overload_reply)(), None);
     }
@@ -264,7 +264,7 @@
             drop(open);
         });
     if let Err(e) = spawned {
-        log::error!("no thread for a request: {e}");
+        log::error!("cannot start a thread for a request: {e}");
         guard.disarm();
         return into_response((shared.limits.overload_reply)(), None);
     }
@@ -274,7 +274,7 @@
             into_response(reply, None)
         }
         Ok((reply, Some(chunks))) => {
-            let body = EdgeBody::Stream(StreamBody::new(chunks, guard));
+            let body = ServerBody::Stream(StreamBody::new(chunks, guard));
             into_response(reply, Some(body))
         }
         Err(_) => {
@@ -285,11 +285,11 @@
     }
 }
 
-fn into_response(reply: HttpReply, stream: Option<EdgeBody>) -> Response<EdgeBody> {
+fn into_response(reply: HttpReply, stream: Option<ServerBody>) -> Response<ServerBody> {
     let body = match (reply.body, stream) {
         (_, Some(stream)) => stream,
-        (ReplyBody::Full(bytes), None) => EdgeBody::Full(Some(bytes)),
-        (ReplyBody::Stream, None) => EdgeBody::Full(None),
+        (ReplyBody::Full(bytes), None) => ServerBody::Full(Some(bytes)),
+        (ReplyBody::Stream, None) => ServerBody::Full(None),
     };
     let mut response = Response::new(body);
     *response.status_mut() = reply.status;
@@ -297,14 +297,14 @@
     response
 }
 
-/// One unit of a counter, given back on drop.
-struct Occupied {
+/// Increments a counter on creation and decrements it on drop.
+struct CounterGuard {
     shared: Arc<ServerShared>,
     counter: fn(&ServerShared) -> &AtomicUsize,
     count: usize,
 }
 
-impl Occupied {
+impl CounterGuard {
     fn new(shared: &Arc<ServerShared>, counter: fn(&ServerShared) -> &AtomicUsize) -> Self {
         let count = counter(shared).fetch_add(1, Ordering::SeqCst) + 1;
         Self {
@@ -319,7 +319,7 @@
     }
 }
 
-impl Drop for Occupied {
+impl Drop for CounterGuard {
     fn drop(&mut self) {
         (self.counter)(&self.shared).fetch_sub(1, Ordering::SeqCst);
     }
--- a/crates/http/tests/edge.rs
+++ b/crates/http/tests/edge.rs
@@ -1,4 +1,4 @@
-//! What the edge promises its handlers and its callers, over real sockets.
+//! Guarantees of the HTTP server to handlers and callers, tested over real sockets.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,8 +9,8 @@
 use onyxfall_http::{BodyError, HttpLimits, HttpReply, HttpRequest, HttpServer, Responder};
 use onyxfall_types::ByteSize;
 
-/// Longest wait for what must happen; far above what it takes.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of waits for events that must occur; far above the time that they take.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn start(
     limits: HttpLimits,
@@ -21,12 +21,12 @@
 
 fn send(address: SocketAddr, text: &str) -> TcpStream {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
     stream.write_all(text.as_bytes()).unwrap();
     stream
 }
 
-/// Everything until the server closes.
+/// Reads until the server closes the connection.
 fn read_all(mut stream: TcpStream) -> String {
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).unwrap();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn malformed_and_oversized_requests_get_an_answer() {
+fn malformed_and_oversized_requests_get_a_response() {
     let limits = HttpLimits {
         body_timeout: Duration::from_millis(200),
         ..HttpLimits::default()
@@ -97,43 +97,43 @@
         },
     ];
     for case in cases {
-        let answer = read_all(send(server.address(), &case.request));
+        let response = read_all(send(server.address(), &case.request));
         assert_eq!(
-            answer.get(9..12),
+            response.get(9..12),
             Some(case.status),
-            "{}: {answer}",
+            "{}: {response}",
             case.name
         );
     }
 }
 
 #[test]
-fn a_full_server_refuses_and_does_not_hang() {
-    let (release, held) = mpsc::channel::<()>();
-    let held = std::sync::Mutex::new(held);
+fn overloaded_server_rejects_requests() {
+    let (release, released) = mpsc::channel::<()>();
+    let released = std::sync::Mutex::new(released);
     let limits = HttpLimits {
         max_requests: 1,
         ..HttpLimits::default()
     };
-    let (entered, seen) = mpsc::channel();
+    let (entered, inside) = mpsc::channel();
     let server = start(limits, move |_, responder| {
         entered.send(()).unwrap();
-        let _ = held.lock().unwrap().recv_timeout(PATIENCE);
+        let _ = released.lock().unwrap().recv_timeout(EVENT_TIMEOUT);
         ok(responder);
     });
     let first = send(server.address(), GET);
-    seen.recv_timeout(PATIENCE).unwrap();
-    let refused = read_all(send(server.address(), GET));
+    inside.recv_timeout(EVENT_TIMEOUT).unwrap();
+    let rejected = read_all(send(server.address(), GET));
     assert!(
-        refused.starts_with("HTTP/1.1 503") && refused.contains("retry-after"),
-        "{refused}"
+        rejected.starts_with("HTTP/1.1 503") && rejected.contains("retry-after"),
+        "{rejected}"
     );
     release.send(()).unwrap();
     assert!(read_all(first).starts_with("HTTP/1.1 200"));
 }
 
 #[test]
-fn a_caller_that_leaves_before_the_first_byte_cancels() {
+fn disconnect_before_the_first_byte_cancels() {
     let (cancelled, seen) = mpsc::channel();
     let (entered, inside) = mpsc::channel();
     let server = start(HttpLimits::default(), move |request, responder| {
@@ -148,13 +148,13 @@
         drop(responder);
     });
     let stream = send(server.address(), GET);
-    inside.recv_timeout(PATIENCE).unwrap();
+    inside.recv_timeout(EVENT_TIMEOUT).unwrap();
     drop(stream);
-    seen.recv_timeout(PATIENCE).expect("the hook ran");
+    seen.recv_timeout(EVENT_TIMEOUT).expect("the hook ran");
 }
 
 #[test]
-fn a_caller_that_leaves_in_mid_stream_ends_the_stream() {
+fn disconnect_during_a_stream_ends_the_stream() {
     let (ended, seen) = mpsc::channel();
     let server = start(HttpLimits::default(), move |request, responder| {
         let stream = responder
@@ -169,11 +169,11 @@
     let mut first = [0; 16];
     stream.read_exact(&mut first).unwrap();
     drop(stream);
-    assert!(seen.recv_timeout(PATIENCE).unwrap(), "cancelled");
+    assert!(seen.recv_timeout(EVENT_TIMEOUT).unwrap(), "cancelled");
 }
 
 #[test]
-fn a_caller_that_stalls_is_given_up() {
+fn stalled_caller_times_out() {
     let limits = HttpLimits {
         stall_timeout: Duration::from_millis(100),
         ..HttpLimits::default()
@@ -188,19 +188,23 @@
         ended.send(()).unwrap();
     });
     let _stream = send(server.address(), GET);
-    seen.recv_timeout(PATIENCE).expect("the handler was freed");
+    seen.recv_timeout(EVENT_TIMEOUT).expect("the handler ended");
 }
 
 #[test]
-fn each_chunk_leaves_at_once() {
-    let (go, wait) = mpsc::channel::<()>();
-    let wait = std::sync::Mutex::new(wait);
+fn each_chunk_is_sent_immediately() {
+    let (release, released) = mpsc::channel::<()>();
+    let released = std::sync::Mutex::new(released);
     let server = start(HttpLimits::default(), move |_, responder| {
         let stream = responder
             .stream(HttpReply::stream(200, "text/event-stream"))
             .unwrap();
         stream.send(Bytes::from_static(b"first")).unwrap();
-        wait.lock().unwrap().recv_timeout(PATIENCE).unwrap();
+        released
+            .lock()
+            .unwrap()
+            .recv_timeout(EVENT_TIMEOUT)
+            .unwrap();
         stream.finish().unwrap();
     });
     let mut stream = send(server.address(), GET);
@@ -211,77 +215,89 @@
         assert!(len > 0, "closed early");
         text.push_str(&String::from_utf8_lossy(&chunk[..len]));
     }
-    go.send(()).unwrap();
-    assert!(read_all(stream).ends_with("0\r\n\r\n"), "whole");
+    release.send(()).unwrap();
+    assert!(read_all(stream).ends_with("0\r\n\r\n"), "complete");
 }
 
 #[test]
-fn an_unfinished_stream_never_looks_whole() {
+fn unfinished_stream_is_incomplete_for_the_caller() {
     let server = start(HttpLimits::default(), |_, responder| {
         let stream = responder
             .stream(HttpReply::stream(200, "text/plain"))
             .unwrap();
         stream.send(Bytes::from_static(b"half")).unwrap();
     });
-    let answer = read_all(send(server.address(), GET));
+    let response = read_all(send(server.address(), GET));
     assert!(
-        answer.contains("half") && !answer.ends_with("0\r\n\r\n"),
-        "{answer}"
+        response.contains("half") && !response.ends_with("0\r\n\r\n"),
+        "{response}"
     );
 }
 
 #[test]
-fn a_handler_without_an_answer_may_have_run() {
+fn handler_without_a_response_may_have_run() {
     let server = start(HttpLimits::default(), |_, responder| drop(responder));
-    let answer = read_all(send(server.address(), GET));
+    let response = read_all(send(server.address(), GET));
     assert!(
-        answer.starts_with("HTTP/1.1 500") && answer.contains("may-have-run"),
-        "{answer}"
+        response.starts_with("HTTP/1.1 500") && response.contains("may-have-run"),
+        "{response}"
     );
 }
 
 #[test]
-fn a_stop_closes_the_listener_and_lets_open_answers_finish() {
-    let (go, wait) = mpsc::channel::<()>();
-    let wait = std::sync::Mutex::new(wait);
-    let (entered, seen) = mpsc::channel();
+fn shutdown_closes_the_listener_and_lets_open_responses_finish() {
+    let (release, released) = mpsc::channel::<()>();
+    let released = std::sync::Mutex::new(released);
+    let (entered, inside) = mpsc::channel();
     let server = start(HttpLimits::default(), move |_, responder| {
         let stream = responder
             .stream(HttpReply::stream(200, "text/plain"))
             .unwrap();
         stream.send(Bytes::from_static(b"begin ")).unwrap();
         entered.send(()).unwrap();
-        wait.lock().unwrap().recv_timeout(PATIENCE).unwrap();
+        released
+            .lock()
+            .unwrap()
+            .recv_timeout(EVENT_TIMEOUT)
+            .unwrap();
         stream.send(Bytes::from_static(b"end")).unwrap();
         stream.finish().unwrap();
     });
     let address = server.address();
     let open = send(address, GET);
-    seen.recv_timeout(PATIENCE).unwrap();
-    let stopper = std::thread::spawn(move || server.shutdown(PATIENCE));
+    inside.recv_timeout(EVENT_TIMEOUT).unwrap();
+    let shutdown = std::thread::spawn(move || server.shutdown(EVENT_TIMEOUT));
     while TcpStream::connect(address).is_ok() {
         std::thread::sleep(Duration::from_millis(5));
     }
-    go.send(()).unwrap();
-    let answer = read_all(open);
+    release.send(()).unwrap();
+    let response = read_all(open);
     assert!(
-        answer.contains("end") && answer.ends_with("0\r\n\r\n"),
-        "{answer}"
+        response.contains("end") && response.ends_with("0\r\n\r\n"),
+        "{response}"
     );
-    assert_eq!(stopper.join().unwrap(), 0, "nothing was cut");
+    assert_eq!(shutdown.join().unwrap(), 0, "no response was cut off");
 }
 
 #[test]
-fn a_handler_that_lingers_after_its_answer_was_not_cut() {
-    let (let_go, lingers) = mpsc::channel::<()>();
-    let lingers = std::sync::Mutex::new(lingers);
+fn handler_that_runs_after_its_response_was_not_cut_off() {
+    let (release, released) = mpsc::channel::<()>();
+    let released = std::sync::Mutex::new(released);
     let server = start(HttpLimits::default(), move |_, responder| {
         let reply = HttpReply::full(200, "text/plain", "whole");
         assert!(responder.reply(reply).is_ok());
-        lingers.lock().unwrap().recv_timeout(PATIENCE).unwrap();
+        released
+            .lock()
+            .unwrap()
+            .recv_timeout(EVENT_TIMEOUT)
+            .unwrap();
     });
-    let answer = read_all(send(server.address(), GET));
-    assert!(answer.ends_with("whole"), "{answer}");
-    assert_eq!(server.shutdown(PATIENCE), 0, "its answer was whole");
-    let_go.send(()).unwrap();
+    let response = read_all(send(server.address(), GET));
+    assert!(response.ends_with("whole"), "{response}");
+    assert_eq!(
+        server.shutdown(EVENT_TIMEOUT),
+        0,
+        "its response was complete"
+    );
+    release.send(()).unwrap();
 }
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,10 +1,10 @@
-//! Logs as JSON lines. No request body and no secret is logged.
+//! Logging as JSON lines. Request bodies and secrets are never logged.
 //!
-//! A line is handed to a thread of its own through a bounded channel; a program
-//! never waits for its reader. What the channel or the ration of a second does
-//! not take is counted, and the count is logged as soon as lines pass again.
+//! Lines go through a bounded channel to a writer thread, so that a program never waits for
+//! the reader of its log. Lines beyond the capacity of the channel or the rate limit are
+//! dropped and counted, and the count is logged as soon as lines are accepted again.
 
-mod ration;
+mod rate_limit;
 mod writer;
 
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -13,10 +13,10 @@
 use log::{LevelFilter, Record};
 use serde_json::{Map, Value as Json, json};
 
-pub use ration::LineRation;
+pub use rate_limit::LineRateLimit;
 pub use writer::{LineQueue, LogSink};
 
-/// Starts logging for the process; a second call changes nothing.
+/// Starts logging for the process; later calls have no effect.
 ///
 /// ```
 /// use onyxfall_logging::{LogSink, start_logging};
@@ -34,7 +34,7 @@
         })
         .chain(Box::new(queue) as Box<dyn log::Log>);
     if dispatch.apply().is_err() {
-        log::debug!("logging was started before");
+        log::debug!("logging is already started");
     }
 }
 
@@ -58,7 +58,7 @@
     Json::Object(fields.0)
 }
 
-/// Collects the fields of a record.
+/// Collects the key-value pairs of a record as JSON.
 struct FieldMap(Map<String, Json>);
 
 impl<'kvs> VisitSource<'kvs> for FieldMap {
--- a/crates/logging/src/writer.rs
+++ b/crates/logging/src/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes lines, and the bounded queue before it.
+//! The thread that writes lines, and its bounded queue.
 
 use std::io::{self, Write};
 use std::sync::{Mutex, PoisonError};
@@ -8,21 +8,21 @@
 use crossbeam::channel::{Receiver, Sender, TrySendError, bounded};
 use log::{Level, Log, Metadata, Record};
 
-use crate::ration::LineRation;
+use crate::rate_limit::LineRateLimit;
 
-/// Lines that may wait for the thread.
+/// Capacity of the queue, in lines.
 const QUEUE_LINES: usize = 1024;
-/// Pause in which lines gather, so that one write carries many.
-const GATHER: Duration = Duration::from_millis(100);
-/// Longest wait of a flush; a stalled reader must not hold up the end.
-const FLUSH_WAIT: Duration = Duration::from_millis(300);
+/// Delay before a write, so that one write has many lines.
+const BATCH_DELAY: Duration = Duration::from_millis(100);
+/// Timeout of a flush; a stalled reader must not delay the end of the process.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Where lines go.
+/// Destination of the lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogSink {
-    /// Standard output: programs that serve.
+    /// Standard output, for services.
     Stdout,
-    /// Standard error: commands whose output is for people.
+    /// Standard error, for commands whose standard output is for users.
     Stderr,
 }
 
@@ -31,15 +31,15 @@
     Flush(Sender<()>),
 }
 
-/// The sending end of the queue, as a logger.
+/// A logger that sends lines to the writer thread.
 pub struct LineQueue {
     items: Sender<QueueItem>,
-    ration: Mutex<LineRation>,
+    limiter: Mutex<LineRateLimit>,
     started: Instant,
 }
 
 impl LineQueue {
-    /// Starts the thread; without one, every line counts as left out.
+    /// Starts the writer thread; if that fails, every line counts as dropped.
     pub fn start(sink: LogSink) -> Self {
         Self::with_output(move || -> Box<dyn Write> {
             match sink {
@@ -49,38 +49,38 @@
         })
     }
 
-    /// Starts the thread with an output that it makes itself.
+    /// Starts the writer thread with an output that is created on the thread.
     pub fn with_output(output: impl FnOnce() -> Box<dyn Write> + Send + 'static) -> Self {
         let (items, receiver) = bounded(QUEUE_LINES);
         let spawned = thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || write_lines(&receiver, &mut *output()));
         if let Err(e) = spawned {
-            eprintln!("no thread for logs: {e}");
+            eprintln!("cannot start the log thread: {e}");
         }
         Self {
             items,
-            ration: Mutex::default(),
+            limiter: Mutex::default(),
             started: Instant::now(),
         }
     }
 
-    /// Hands a line on, or counts it as left out. Never waits.
+    /// Queues a line, or counts it as dropped. Never blocks.
     pub fn push(&self, line: String, alarm: bool) {
-        let mut ration = self.ration.lock().unwrap_or_else(PoisonError::into_inner);
-        if !ration.admits(self.started.elapsed(), alarm) {
+        let mut limiter = self.limiter.lock().unwrap_or_else(PoisonError::into_inner);
+        if !limiter.admits(self.started.elapsed(), alarm) {
             return;
         }
-        let left_out = ration.take_left_out();
-        if left_out > 0 {
-            let note = format!("{{\"module\":\"log\",\"left_out\":{left_out}}}");
-            if self.items.try_send(QueueItem::Line(note)).is_err() {
-                (0..left_out).for_each(|_| ration.note_lost());
+        let dropped = limiter.take_dropped();
+        if dropped > 0 {
+            let report = format!("{{\"module\":\"log\",\"left_out\":{dropped}}}");
+            if self.items.try_send(QueueItem::Line(report)).is_err() {
+                (0..dropped).for_each(|_| limiter.record_dropped());
             }
         }
         match self.items.try_send(QueueItem::Line(line)) {
             Ok(()) => {}
-            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => ration.note_lost(),
+            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => limiter.record_dropped(),
         }
     }
 }
@@ -97,8 +97,8 @@
     fn flush(&self) {
         let (sender, receiver) = bounded(1);
         if self.items.try_send(QueueItem::Flush(sender)).is_ok() {
-            // A reader that stalls costs the last lines, not the process's end.
-            let _ = receiver.recv_timeout(FLUSH_WAIT);
+            // If the reader stalls, the last lines are lost and the process still ends.
+            let _ = receiver.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
@@ -107,14 +107,14 @@
     let mut batch = String::new();
     while let Ok(first) = items.recv() {
         let mut flushes = Vec::new();
-        take(first, &mut batch, &mut flushes);
+        append_item(first, &mut batch, &mut flushes);
         if flushes.is_empty() {
-            thread::sleep(GATHER);
+            thread::sleep(BATCH_DELAY);
         }
         while let Ok(item) = items.try_recv() {
-            take(item, &mut batch, &mut flushes);
+            append_item(item, &mut batch, &mut flushes);
         }
-        // Nobody is left to tell of a log that cannot be written.
+        // Errors are ignored: there is no other place to report that the log cannot be written.
         let _ = output.write_all(batch.as_bytes());
         let _ = output.flush();
         batch.clear();
@@ -124,7 +124,7 @@
     }
 }
 
-fn take(item: QueueItem, batch: &mut String, flushes: &mut Vec<Sender<()>>) {
+fn append_item(item: QueueItem, batch: &mut String, flushes: &mut Vec<Sender<()>>) {
     match item {
         QueueItem::Line(line) => {
             batch.push_str(&line);
--- a/crates/logging/tests/queue.rs
+++ b/crates/logging/tests/queue.rs
@@ -1,24 +1,24 @@
-//! A log that nobody reads neither blocks nor grows the process.
+//! A log with a stalled reader neither blocks the process nor grows its memory.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, channel};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use onyxfall_logging::{LineQueue, LineRation};
+use onyxfall_logging::{LineQueue, LineRateLimit};
 
-/// An output whose first write waits until it is let go.
+/// An output whose first write blocks until it is released.
 struct StalledOutput {
-    go: Receiver<()>,
-    is_free: bool,
+    released: Receiver<()>,
+    is_released: bool,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
 impl Write for StalledOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        if !self.is_free {
-            self.go.recv().map_err(io::Error::other)?;
-            self.is_free = true;
+        if !self.is_released {
+            self.released.recv().map_err(io::Error::other)?;
+            self.is_released = true;
         }
         self.written.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -30,20 +30,20 @@
 }
 
 #[test]
-fn a_stalled_reader_costs_lines_not_time_or_memory() {
-    let (let_go, go) = channel();
+fn stalled_reader_drops_lines_without_blocking() {
+    let (release, released) = channel();
     let written = Arc::new(Mutex::new(Vec::new()));
     let output = StalledOutput {
-        go,
-        is_free: false,
+        released,
+        is_released: false,
         written: Arc::clone(&written),
     };
     let queue = LineQueue::with_output(move || Box::new(output));
-    // Nobody reads: each push returns, and the queue holds a bounded number.
+    // Nothing is read: each push returns, and the queue holds a bounded number of lines.
     for number in 0..100_000 {
         queue.push(format!("line {number}"), false);
     }
-    let_go.send(()).unwrap();
+    release.send(()).unwrap();
     for _ in 0..10 {
         log::Log::flush(&queue);
     }
@@ -57,16 +57,16 @@
 }
 
 #[test]
-fn a_ration_leaves_room_for_alarms_and_counts_what_it_leaves_out() {
-    let mut ration = LineRation::default();
+fn rate_limit_admits_alarms_separately_and_counts_dropped_lines() {
+    let mut limiter = LineRateLimit::default();
     let now = Duration::from_millis(1500);
-    let quiet = (0..1000).filter(|_| ration.admits(now, false)).count();
-    let alarms = (0..1000).filter(|_| ration.admits(now, true)).count();
-    assert!(quiet > 0 && alarms > 0 && quiet + alarms < 1000);
-    let left_out = u64::try_from(2000 - quiet - alarms).unwrap();
-    assert_eq!(ration.take_left_out(), left_out);
+    let info = (0..1000).filter(|_| limiter.admits(now, false)).count();
+    let alarms = (0..1000).filter(|_| limiter.admits(now, true)).count();
+    assert!(info > 0 && alarms > 0 && info + alarms < 1000);
+    let dropped = u64::try_from(2000 - info - alarms).unwrap();
+    assert_eq!(limiter.take_dropped(), dropped);
     assert!(
-        ration.admits(now + Duration::from_secs(1), false),
+        limiter.admits(now + Duration::from_secs(1), false),
         "a new second"
     );
 }
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -8,7 +8,7 @@
 use crate::fault::{FaultList, SettingsError, SettingsFault};
 use crate::reader::SectionReader;
 
-/// One section: its header's two words and its keys in file order.
+/// A section: its header, and its keys and values in file order.
 #[derive(Clone, Debug)]
 pub struct IniSection {
     header: String,
@@ -33,13 +33,13 @@
             .map_or("", |(_, name)| name.trim())
     }
 
-    /// Keys and values in file order, keys that stand twice included.
+    /// Keys and values in file order, including duplicate keys.
     pub fn pairs(&self) -> &[(String, String)] {
         &self.pairs
     }
 }
 
-/// A document and its text.
+/// A parsed document and its text.
 #[derive(Clone, Debug)]
 pub struct IniDocument {
     file: String,
@@ -60,11 +60,11 @@
         Self::parse(&file, &text)
     }
 
-    /// Parses `text`; `file` names it in faults.
+    /// Parses `text`; `file` is the file name in faults.
     ///
     /// # Errors
     ///
-    /// The text is not INI; the fault has the parser's line.
+    /// The text is not INI; the fault has the line that the parser reports.
     ///
     /// ```
     /// use onyxfall_settings::IniDocument;
@@ -102,7 +102,7 @@
         })
     }
 
-    /// File name, as given.
+    /// File name, as given by the caller.
     pub fn file(&self) -> &str {
         &self.file
     }
@@ -120,7 +120,7 @@
             .map(|section| SectionReader::new(self, section))
     }
 
-    /// The reader of the only section of `kind`; its absence is a fault.
+    /// The reader of the first section of `kind`; a document without one is a fault.
     pub fn single<'a>(
         &'a self,
         kind: &'a str,
@@ -137,7 +137,7 @@
         reader
     }
 
-    /// Checks headers: every kind is one of `kinds`, and none stands twice.
+    /// Checks that every section has one of `kinds`, and that no header is duplicate.
     pub fn check_headers(&self, kinds: &[&str], faults: &mut FaultList) {
         let mut seen = BTreeSet::new();
         for section in &self.sections {
@@ -148,7 +148,7 @@
                 faults.push(self.header_fault(header, message));
             }
             if !seen.insert(header) {
-                let message = format!("section [{header}] stands twice");
+                let message = format!("duplicate section [{header}]");
                 faults.push(self.last_header_fault(header, message));
             }
         }
@@ -217,12 +217,12 @@
     text.lines().enumerate().map(|(i, line)| (i + 1, line))
 }
 
-/// `rust-ini` reads on past a header without its `]` and reports the end of
-/// the file, so this is looked for first.
+/// Checks that every section header is closed. `rust-ini` reads past a header without `]`
+/// and reports the end of the file, so this check comes first.
 fn check_brackets(file: &str, text: &str) -> Result<(), SettingsError> {
-    let is_open = |line: &str| line.trim().starts_with('[') && !line.trim().ends_with(']');
+    let is_unclosed = |line: &str| line.trim().starts_with('[') && !line.trim().ends_with(']');
     let faults: Vec<SettingsFault> = numbered_lines(text)
-        .filter(|(_, line)| is_open(line))
+        .filter(|(_, line)| is_unclosed(line))
         .map(|(number, _)| fault_at(text, number, "section header without `]`".to_owned()))
         .collect();
     if faults.is_empty() {
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -1,14 +1,14 @@
-//! Faults of a document, each with its place in the text.
+//! Faults of a document, each with its position in the text.
 
 use std::fmt;
 
 use miette::{Diagnostic, LabeledSpan, NamedSource, SourceCode, SourceSpan};
 use thiserror::Error;
 
-/// One fault: what was found and what was expected.
+/// A fault: what was found and what was expected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsFault {
-    /// Line in the document, from 1.
+    /// Line in the document, counted from 1.
     pub line: usize,
     /// Byte range of that line in the document.
     pub span: (usize, usize),
@@ -16,7 +16,7 @@
     pub message: String,
 }
 
-/// Every fault found so far, in the order of finding.
+/// All faults found so far, in the order in which they were found.
 #[derive(Clone, Debug, Default)]
 pub struct FaultList {
     faults: Vec<SettingsFault>,
@@ -33,24 +33,24 @@
         self.faults.push(fault);
     }
 
-    /// Whether no fault was found.
+    /// Whether the list has no faults.
     pub fn is_empty(&self) -> bool {
         self.faults.is_empty()
     }
 
-    /// The faults, in the order of their lines.
+    /// The faults, sorted by line.
     pub fn into_sorted(mut self) -> Vec<SettingsFault> {
         self.faults.sort_by_key(|fault| fault.line);
         self.faults
     }
 }
 
-/// A document that cannot be used, with every fault.
+/// Error of an invalid document, with all its faults.
 #[derive(Debug, Error)]
 pub struct SettingsError {
     /// File name, as given by the caller.
     pub file: String,
-    /// The faults, by line.
+    /// The faults, sorted by line.
     pub faults: Vec<SettingsFault>,
     source_code: NamedSource<String>,
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,12 +1,12 @@
-//! Checked INI documents: settings, bundles and load scenarios.
+//! Parsing and validation of INI documents: settings, bundles and load scenarios.
 //!
-//! A document is read by `rust-ini`; a [`SectionReader`] takes typed values out
-//! of it and a [`FaultList`] collects every fault with its line, so that one
-//! run names all of them. `rust-ini` keeps no line numbers: the line of a fault
-//! is found by looking its section and key up in the text.
+//! `rust-ini` parses a document, a [`SectionReader`] reads typed values from a section, and a
+//! [`FaultList`] collects every fault with its line, so that one run reports all of them.
+//! `rust-ini` keeps no line numbers: the line of a fault is found by a search for its section
+//! and key in the text.
 //!
-//! Invariant: a key that no reader asked for is a fault, and so is a section
-//! whose kind is not known or whose header stands twice.
+//! Invariant: a key that no reader has requested is a fault, and so is a section of an
+//! unknown kind or with a duplicate header.
 
 mod document;
 mod fault;
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,8 +1,8 @@
 //! Typed access to one section.
 //!
-//! A reader notes which keys it was asked for; [`SectionReader::finish`] turns
-//! every other key into a fault. Readers return `None` after recording a fault,
-//! so that a loader goes on and finds the next one.
+//! A reader records the keys that are requested from it; [`SectionReader::finish`] reports
+//! every other key as a fault. After recording a fault, methods return `None` or a default,
+//! so that a loader continues and finds the next fault.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -17,7 +17,7 @@
 pub struct SectionReader<'a> {
     document: &'a IniDocument,
     section: &'a IniSection,
-    asked: RefCell<BTreeSet<&'a str>>,
+    requested: RefCell<BTreeSet<&'a str>>,
 }
 
 impl<'a> SectionReader<'a> {
@@ -25,7 +25,7 @@
         Self {
             document,
             section,
-            asked: RefCell::default(),
+            requested: RefCell::default(),
         }
     }
 
@@ -51,7 +51,7 @@
 
     /// The raw value of `key`.
     pub fn text(&self, key: &'a str) -> Option<&'a str> {
-        self.asked.borrow_mut().insert(key);
+        self.requested.borrow_mut().insert(key);
         self.section
             .pairs()
             .iter()
@@ -59,7 +59,7 @@
             .map(|(_, v)| v.as_str())
     }
 
-    /// A value that must stand there.
+    /// The value of a required key.
     pub fn required<T>(&self, key: &'a str, faults: &mut FaultList) -> Option<T>
     where
         T: FromStr<Err: Display>,
@@ -71,7 +71,7 @@
         self.optional(key, faults)
     }
 
-    /// A value that may stand there.
+    /// The value of an optional key.
     pub fn optional<T>(&self, key: &'a str, faults: &mut FaultList) -> Option<T>
     where
         T: FromStr<Err: Display>,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// A value with a default.
+    /// The value of `key`, or a default if the key is absent or invalid.
     pub fn or_default<T>(&self, key: &'a str, default: T, faults: &mut FaultList) -> T
     where
         T: FromStr<Err: Display>,
@@ -114,7 +114,7 @@
         values
     }
 
-    /// `yes` or `no`, with a default.
+    /// A boolean, written `yes` or `no`, with a default.
     pub fn flag(&self, key: &'a str, default: bool, faults: &mut FaultList) -> bool {
         match self.text(key) {
             None => default,
@@ -164,13 +164,13 @@
         faults.push(self.document.key_fault(self.header(), key, message));
     }
 
-    /// Ends the reading: keys never asked for, and keys that stand twice, are faults.
+    /// Finishes reading: keys never requested and duplicate keys are faults.
     pub fn finish(self, faults: &mut FaultList) {
-        let asked = self.asked.borrow();
+        let requested = self.requested.borrow();
         let mut seen = BTreeSet::new();
         for (key, _) in self.section.pairs() {
-            if !asked.contains(key.as_str()) {
-                let expected: Vec<&str> = asked.iter().copied().collect();
+            if !requested.contains(key.as_str()) {
+                let expected: Vec<&str> = requested.iter().copied().collect();
                 let message = format!(
                     "unknown key `{key}`: expected one of {}",
                     expected.join(", ")
@@ -178,7 +178,7 @@
                 self.fault(key, message, faults);
             }
             if !seen.insert(key) {
-                self.fault(key, format!("key `{key}` stands twice"), faults);
+                self.fault(key, format!("duplicate key `{key}`"), faults);
             }
         }
     }
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Every kind of fault names its line and what was expected.
+//! Every kind of fault reports its line and what was expected.
 
 use std::time::Duration;
 
@@ -16,19 +16,19 @@
     let document = IniDocument::parse("test.ini", text)?;
     let mut faults = FaultList::new();
     document.check_headers(&["listen"], &mut faults);
-    let mut found = (0, ByteSize::new(0), Duration::ZERO);
+    let mut values = (0, ByteSize::new(0), Duration::ZERO);
     if let Some(reader) = document.single("listen", &mut faults) {
-        found.0 = reader.required("port", &mut faults).unwrap_or(0);
-        found.1 = reader.or_default("limit", ByteSize::new(1), &mut faults);
-        found.2 = reader.millis("idle-ms", Duration::from_millis(5), &mut faults);
+        values.0 = reader.required("port", &mut faults).unwrap_or(0);
+        values.1 = reader.or_default("limit", ByteSize::new(1), &mut faults);
+        values.2 = reader.millis("idle-ms", Duration::from_millis(5), &mut faults);
         reader.finish(&mut faults);
     }
     document.finish(faults)?;
-    Ok(found)
+    Ok(values)
 }
 
 #[test]
-fn faults_name_line_and_expectation() {
+fn faults_report_line_and_expectation() {
     let cases = [
         FaultCase {
             name: "unknown key",
@@ -52,12 +52,12 @@
         FaultCase {
             name: "duplicate key",
             text: "[listen]\nport = 1\nport = 2\n",
-            expected: expect!["test.ini:3: [listen]: key `port` stands twice"],
+            expected: expect!["test.ini:3: [listen]: duplicate key `port`"],
         },
         FaultCase {
             name: "duplicate section",
             text: "[listen]\nport = 1\n[listen]\nport = 1\n",
-            expected: expect!["test.ini:3: section [listen] stands twice"],
+            expected: expect!["test.ini:3: duplicate section [listen]"],
         },
         FaultCase {
             name: "unknown section",
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn good_text_loads_with_defaults() {
-    let found = load("; comment\n[listen]\nport = 80\nlimit = 2KiB\n").unwrap();
-    assert_eq!(found, (80, ByteSize::new(2048), Duration::from_millis(5)));
+fn valid_text_loads_with_defaults() {
+    let values = load("; comment\n[listen]\nport = 80\nlimit = 2KiB\n").unwrap();
+    assert_eq!(values, (80, ByteSize::new(2048), Duration::from_millis(5)));
 }
