--- a/crates/fakes/src/control.rs
+++ b/crates/fakes/src/control.rs
@@ -1,14 +1,14 @@
-//! What the HTTP stand-ins share: JSON answers and the faults port.
+//! Shared by the HTTP stubs: JSON responses and the control endpoint for faults.
 
 use onyxfall_http::{HttpReply, HttpRequest, Responder};
 use onyxfall_types::ByteSize;
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
 
-/// Largest body that a stand-in reads.
+/// Largest request body that a stub reads.
 pub(crate) const BODY_LIMIT: ByteSize = ByteSize::new(4 * 1024 * 1024);
 
-/// Answers with JSON.
+/// Sends a JSON response.
 pub(crate) fn send(responder: Responder, status: u16, body: &Value) {
     let _ = responder.reply(HttpReply::full(
         status,
@@ -17,7 +17,7 @@
     ));
 }
 
-/// Reads faults as JSON and hands them to `set`.
+/// Parses faults from a JSON body and passes them to `set`.
 pub(crate) fn take_faults<T: DeserializeOwned>(
     mut request: HttpRequest,
     responder: Responder,
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -1,5 +1,5 @@
-//! Stand-in of a model engine: OpenAI-shaped streaming, slots, prefix cache,
-//! lagged load report, drain, faults.
+//! Stub of a model engine with OpenAI-style streaming, slots, a prefix cache, a delayed
+//! load report, drain and faults.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -20,20 +20,20 @@
 const DEFAULT_TOKENS: u64 = 8;
 const MAX_EVENTS: usize = 256;
 
-/// How an engine behaves.
+/// Settings of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
     /// Time until the first token when the prefix is not cached.
     pub prefill: Duration,
     /// Time between tokens.
     pub token: Duration,
-    /// Prefixes that its cache holds.
+    /// Capacity of the prefix cache.
     pub cache: usize,
-    /// How old its load report is.
+    /// Delay of its load report.
     pub lag: Duration,
-    /// Its life.
+    /// Incarnation in its load report.
     pub incarnation: u64,
 }
 
@@ -54,15 +54,15 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// Refuses new work and says so in its report.
+    /// Rejects new requests and reports that it is draining.
     pub draining: bool,
-    /// Answers every request with 500.
+    /// Responds to every request with 500.
     pub failing: bool,
-    /// Breaks every answer off after this many tokens.
+    /// Ends every response after this many tokens.
     pub break_after: Option<u64>,
-    /// Times slower than its settings; 0 stands for 1.
+    /// Factor by which it is slower than its settings; 0 stands for 1.
     pub slowness: f64,
-    /// Drops connections without an answer, as a dead VM.
+    /// Closes connections without a response, like a VM that is down.
     pub dead: bool,
 }
 
@@ -115,22 +115,22 @@
         Ok(Self { server, shared })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes the faults.
+    /// Replaces the faults.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.shared.state.lock().faults = faults;
     }
 
-    /// Runs started, by request id.
+    /// Number of runs started, by request id.
     pub fn runs(&self) -> BTreeMap<String, u64> {
         self.shared.state.lock().runs.clone()
     }
 
-    /// Runs that ended because the caller went away.
+    /// Number of runs that ended because the caller disconnected.
     pub fn cancelled(&self) -> u64 {
         self.shared.state.lock().cancelled
     }
@@ -164,7 +164,7 @@
     }
 }
 
-/// Takes an order whose fencing token is not below the highest seen.
+/// Accepts an order unless its fencing token is lower than the highest one received.
 fn order(shared: &EngineShared, mut request: HttpRequest, responder: Responder) {
     let body = request.read_body(BODY_LIMIT).unwrap_or_default();
     let Ok(order) = serde_json::from_slice::<Value>(&body) else {
@@ -241,14 +241,14 @@
     };
     let body: Value = serde_json::from_slice(&body).unwrap_or_default();
     let started = Instant::now();
-    let ended = answer(shared, &body, &request, responder);
+    let ended = respond(shared, &body, &request, responder);
     shared.state.lock().work += started.elapsed();
     if !ended {
         shared.state.lock().cancelled += 1;
     }
 }
 
-fn slowed(shared: &EngineShared, time: Duration) -> Duration {
+fn scaled_time(shared: &EngineShared, time: Duration) -> Duration {
     let slowness = shared.state.lock().faults.slowness;
     if slowness > 0.0 {
         time.mul_f64(slowness)
@@ -257,8 +257,8 @@
     }
 }
 
-/// Answers in full or as a stream; `false` if the caller went away.
-fn answer(
+/// Responds in full or as a stream; returns `false` if the caller disconnected.
+fn respond(
     shared: &EngineShared,
     body: &Value,
     request: &HttpRequest,
@@ -268,16 +268,16 @@
     let tokens = body["max_tokens"].as_u64().unwrap_or(DEFAULT_TOKENS);
     let cached = touch_cache(shared, stable_hash(&[prompt]));
     if !cached {
-        std::thread::sleep(slowed(shared, shared.settings.prefill));
+        std::thread::sleep(scaled_time(shared, shared.settings.prefill));
     }
     if body["stream"].as_bool() != Some(true) {
-        return answer_whole(shared, request, responder, tokens);
+        return respond_in_full(shared, request, responder, tokens);
     }
     let Ok(stream) = responder.stream(HttpReply::stream(200, "text/event-stream")) else {
         return false;
     };
     for token in 0..tokens {
-        std::thread::sleep(slowed(shared, shared.settings.token));
+        std::thread::sleep(scaled_time(shared, shared.settings.token));
         if shared.state.lock().faults.break_after == Some(token) {
             return true;
         }
@@ -292,14 +292,14 @@
     stream.send(Bytes::from_static(b"data: [DONE]\n\n")).is_ok() && stream.finish().is_ok()
 }
 
-fn answer_whole(
+fn respond_in_full(
     shared: &EngineShared,
     request: &HttpRequest,
     responder: Responder,
     tokens: u64,
 ) -> bool {
     for _ in 0..tokens {
-        std::thread::sleep(slowed(shared, shared.settings.token));
+        std::thread::sleep(scaled_time(shared, shared.settings.token));
         if request.cancel.is_cancelled() {
             return false;
         }
@@ -312,26 +312,26 @@
         .is_ok()
 }
 
-/// Puts a prefix first in the cache; whether it was there.
+/// Moves a prefix to the front of the cache; returns whether it was cached.
 fn touch_cache(shared: &EngineShared, prefix: u64) -> bool {
     let mut state = shared.state.lock();
-    let found = state.cache.iter().position(|held| *held == prefix);
+    let found = state.cache.iter().position(|cached| *cached == prefix);
     if let Some(at) = found {
         state.cache.remove(at);
     }
     state.cache.push_front(prefix);
     if found.is_none() {
-        note_event(&mut state, json!({"stored": prefix.to_string()}));
+        record_event(&mut state, json!({"stored": prefix.to_string()}));
     }
     if state.cache.len() > shared.settings.cache
         && let Some(evicted) = state.cache.pop_back()
     {
-        note_event(&mut state, json!({"evicted": evicted.to_string()}));
+        record_event(&mut state, json!({"evicted": evicted.to_string()}));
     }
     found.is_some()
 }
 
-fn note_event(state: &mut EngineState, event: Value) {
+fn record_event(state: &mut EngineState, event: Value) {
     state.events.push_back(event);
     state.next_event += 1;
     if state.events.len() > MAX_EVENTS {
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for the systems that onyxfall meets: scaffolding for tests,
-//! the try-out and experiments, not part of the product.
+//! Stubs of the systems around onyxfall, for tests, the try-out and experiments; not part
+//! of the product.
 //!
-//! Each stand-in listens on loopback and takes its faults through a shared
+//! Each stub listens on loopback and accepts its faults through a shared
 //! handle, or over HTTP at `/fake/control` when it runs in another process.
 
 mod control;
--- a/crates/fakes/src/link.rs
+++ b/crates/fakes/src/link.rs
@@ -1,7 +1,7 @@
-//! Stand-in of a network link: forwards TCP with delay, and cuts.
+//! Stub of a network link: forwards TCP with a delay, and can cut connections.
 //!
-//! Addresses tell regions apart: on loopback the third byte of a VM's address
-//! is its region, so one link before each VM can delay and cut by pair.
+//! The third byte of a VM's loopback address is its region, so that one link in front of
+//! each VM can delay and cut traffic by pair of regions.
 
 use std::collections::BTreeSet;
 use std::io::{self, Read, Write};
@@ -16,7 +16,7 @@
 const CHUNK: usize = 16 * 1024;
 const PIPE_DEPTH: usize = 256;
 
-/// What links do, by pair of regions.
+/// Delays and cuts of links, by pair of regions.
 #[derive(Default)]
 pub struct LinkRules {
     state: Mutex<RuleState>,
@@ -41,7 +41,7 @@
         })
     }
 
-    /// Cuts or mends the pair of regions; a cut breaks open connections.
+    /// Cuts or restores the links of a pair of regions; a cut closes open connections.
     pub fn set_cut(&self, a: u8, b: u8, cut: bool) {
         let mut state = self.state.lock();
         let pair = (a.min(b), a.max(b));
@@ -86,14 +86,13 @@
     }
 }
 
-/// A running link before one listener.
+/// A running link in front of one listener.
 pub struct FakeLink {
     address: SocketAddr,
 }
 
 impl FakeLink {
-    /// Forwards what comes in on `listener` to `target`, which stands in the
-    /// listener's region.
+    /// Forwards connections on `listener` to `target`, which is in the listener's region.
     ///
     /// # Errors
     ///
@@ -115,7 +114,7 @@
         Ok(Self { address })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -146,7 +145,7 @@
     pipe(far_read, near, delay);
 }
 
-/// Copies with a delay that does not limit throughput.
+/// Copies bytes with a delay that does not limit throughput.
 fn pipe(mut from: TcpStream, mut to: TcpStream, delay: Duration) {
     let (sender, receiver) = channel::bounded::<(Instant, Vec<u8>)>(PIPE_DEPTH);
     let writer = thread::spawn(move || {
--- a/crates/fakes/src/main.rs
+++ b/crates/fakes/src/main.rs
@@ -1,4 +1,4 @@
-//! The `onyxfall-fakes` program: stand-ins described by an INI file.
+//! The `onyxfall-fakes` program: runs stubs described by an INI file.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -16,7 +16,7 @@
 use onyxfall_types::ByteSize;
 use serde::Deserialize;
 
-/// Run stand-ins for the platform's service, backend servers and links.
+/// Run stubs of the platform's service, backend servers and links.
 #[derive(FromArgs)]
 struct FakesArguments {
     /// description file (INI)
@@ -24,7 +24,7 @@
     settings: PathBuf,
 }
 
-/// What runs; dropping it ends the servers.
+/// The running stubs; dropping them stops their servers.
 #[derive(Default)]
 struct RunningFakes {
     platforms: Vec<FakePlatform>,
@@ -117,7 +117,7 @@
     Ok(fakes)
 }
 
-/// A cut or mended pair of regions, as posted to the control port.
+/// A pair of regions to cut or restore, as posted to the control port.
 #[derive(Deserialize)]
 struct CutOrder {
     a: u8,
@@ -125,7 +125,7 @@
     cut: bool,
 }
 
-/// Serves the orders to cut and mend links.
+/// Serves the control port, which cuts and restores links.
 fn start_control(listener: TcpListener, rules: Arc<LinkRules>) -> Result<HttpServer, Report> {
     let handler = move |mut request: HttpRequest, responder: Responder| {
         let body = request.read_body(ByteSize::new(4096)).unwrap_or_default();
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -1,5 +1,5 @@
-//! Stand-in of the platform's service: the JSON gateway of etcd v3 over a map,
-//! the VM list and the directory, with faults.
+//! Stub of the platform's service: the JSON gateway of etcd v3 over an in-memory map, the
+//! VM list and the directory, with faults.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -19,20 +19,20 @@
 use crate::control::{BODY_LIMIT, send, take_faults};
 
 const VALUE_LIMIT: usize = 1024 * 1024;
-const WATCH_LOOK: Duration = Duration::from_millis(20);
+const WATCH_POLL: Duration = Duration::from_millis(20);
 const WATCH_IDLE: Duration = Duration::from_secs(1);
 
-/// Faults that can be set while it runs.
+/// Faults that can be set while the service runs.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct PlatformFaults {
-    /// Every call fails with 503 and watches break.
+    /// Fails every call with 503 and ends watches.
     pub outage: bool,
-    /// Delay of every answer.
+    /// Delay of every response.
     pub delay_ms: u64,
-    /// So many next writes take effect, but their answer is lost.
+    /// Number of next writes that take effect but whose response is lost.
     pub lose_answers: u32,
-    /// Calls that are refused with 429 next.
+    /// Number of next calls that are rejected with 429.
     pub refuse_calls: u32,
 }
 
@@ -81,17 +81,17 @@
         Ok(Self { server, state })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Base address for clients.
+    /// Base URL for clients.
     pub fn url(&self) -> String {
         format!("http://{}", self.server.address())
     }
 
-    /// Changes the faults.
+    /// Replaces the faults.
     pub fn set_faults(&self, faults: PlatformFaults) {
         self.state.lock().faults = faults;
     }
@@ -101,12 +101,12 @@
         self.state.lock().vms = VmList { vms };
     }
 
-    /// Calls served so far, by path.
+    /// Number of calls so far, by path.
     pub fn calls(&self) -> BTreeMap<String, u64> {
         self.state.lock().calls.clone()
     }
 
-    /// Takes a copy of all keys, to go back to with [`Self::restore`].
+    /// Copies all keys, for [`Self::restore`].
     pub fn snapshot(&self) -> Vec<(Vec<u8>, Vec<u8>)> {
         let state = self.state.lock();
         state
@@ -116,7 +116,7 @@
             .collect()
     }
 
-    /// Goes back to a copy, as a service restored from an old backup does.
+    /// Restores a snapshot, like a service restored from an old backup.
     pub fn restore(&self, snapshot: &[(Vec<u8>, Vec<u8>)]) {
         let mut state = self.state.lock();
         let keys: Vec<Vec<u8>> = state.values.keys().cloned().collect();
@@ -155,8 +155,8 @@
         return watch(shared, &body["create_request"], responder);
     }
     let mut state = shared.lock();
-    lapse_leases(&mut state);
-    let answer = call(&mut state, &path, &body);
+    expire_leases(&mut state);
+    let response = call(&mut state, &path, &body);
     let is_write = matches!(
         path.as_str(),
         "/v3/kv/put" | "/v3/kv/txn" | "/v3/kv/deleterange"
@@ -169,8 +169,8 @@
     if lost {
         return drop(responder.stream(HttpReply::stream(200, "application/json")));
     }
-    match answer {
-        Ok(answer) => send(responder, 200, &answer),
+    match response {
+        Ok(response) => send(responder, 200, &response),
         Err(e) => send(responder, 400, &json!({"error": e})),
     }
 }
@@ -199,7 +199,7 @@
         "/v3/lease/keepalive" => Ok(keep_alive(state, lease_of(body))),
         "/v3/lease/revoke" => {
             state.leases.remove(&lease_of(body));
-            lapse_leases(state);
+            expire_leases(state);
             Ok(json!({}))
         }
         "/platform/v1/vms" => Ok(json!(state.vms)),
@@ -232,10 +232,10 @@
     json!({"result": {"ID": id.to_string(), "TTL": ttl.unwrap_or(0).to_string()}})
 }
 
-fn lapse_leases(state: &mut PlatformState) {
+fn expire_leases(state: &mut PlatformState) {
     let now = Instant::now();
     state.leases.retain(|_, (until, _)| *until > now);
-    let lapsed: Vec<Vec<u8>> = state
+    let expired: Vec<Vec<u8>> = state
         .values
         .iter()
         .filter(|(_, stored)| {
@@ -245,7 +245,7 @@
         })
         .map(|(key, _)| key.clone())
         .collect();
-    for key in lapsed {
+    for key in expired {
         write(state, &key, None, None);
     }
 }
@@ -358,7 +358,7 @@
     }
     let mut idle = Instant::now();
     loop {
-        std::thread::sleep(WATCH_LOOK);
+        std::thread::sleep(WATCH_POLL);
         let events = {
             let state = shared.lock();
             if state.faults.outage {
--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a backend server as the adapter speaks to it, with its failings.
+//! Stub of a backend server, with the protocol that the adapter uses and with faults.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -22,73 +22,73 @@
 use crate::copies::{put_copy, take_copy};
 use crate::serving::{PeerAddress, ServingThread, StopSignal};
 
-/// What a server does with a request.
+/// How a server handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerFault {
-    /// Runs it and answers whole.
+    /// Runs the request and sends a complete response.
     #[default]
     None,
-    /// Runs it and answers with a failure of its own.
+    /// Runs the request and responds with 500.
     Fails,
-    /// Does not run it and says so.
-    Sheds,
-    /// Is another life than the one that is meant, and says so.
+    /// Responds that the request has not run, and does not run it.
+    Rejects,
+    /// Responds that the request is for another instance.
     Replaced,
-    /// Runs it and closes the connection without an answer.
+    /// Runs the request and closes the connection without a response.
     Closes,
-    /// Runs it and gives the answer of another request.
-    Stray,
-    /// Runs it and breaks its answer off after the first event.
-    BreaksOff,
-    /// Runs it and never answers.
-    Mute,
-    /// Breaks off the streams that begin here, but goes on with others' runs whose copy
-    /// it holds.
-    Dies(BreakPoint),
-    /// The same, and has lost the copies that it held.
-    DiesWithCopies,
+    /// Runs the request and responds with the id of another request.
+    WrongResponse,
+    /// Runs the request and closes the connection after the first event.
+    Disconnects,
+    /// Runs the request and never responds.
+    Unresponsive,
+    /// Breaks streams that start on this server, but continues runs of other servers of
+    /// which it holds a backup.
+    BreaksStreams(BreakPoint),
+    /// Breaks streams that start on this server, and has lost the backups that it held.
+    BreaksAndLosesBackups,
 }
 
-/// What a server says of itself in its answers, whatever it does with requests.
+/// Signals in a server's responses, independent of its fault.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StubSignals {
-    /// Every answer says that it leaves.
+    /// Whether every response signals that the server is draining.
     pub is_leaving: bool,
-    /// It turns requests away and asks for a rest of so many seconds.
+    /// If set, the server rejects requests and asks for this backoff.
     pub rest: Option<RequestedBackoff>,
-    /// Every answer names the requests a second that it takes, as the header has them.
+    /// Limit in every response, in requests per second, as in the header.
     pub limit: Option<&'static str>,
 }
 
-/// The rest that a server asks for.
+/// The backoff that a server asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestedBackoff {
-    /// Seconds, as the header has them.
+    /// Duration in seconds, as in the header.
     pub seconds: &'static str,
-    /// It turns away each so-many-th request.
+    /// The server rejects every request whose number is a multiple of this.
     pub every: usize,
 }
 
-/// A request as it reached the stand-in, run or not.
+/// A request that reached the stub, whether it was run or not.
 #[derive(Clone, Debug)]
 pub struct ArrivedRequest {
-    /// When it arrived.
+    /// Arrival time.
     pub at: Instant,
-    /// Address that its connection comes from.
+    /// Source address of the connection.
     pub from: IpAddr,
     /// Id of the caller's attempt.
     pub request_id: String,
-    /// What the answer to it said of the stand-in.
+    /// Signals in the response to the request.
     pub said: StubSignals,
 }
 
 /// Body of a request that crashes the server that runs it.
 pub const CRASHING_BODY: &[u8] = b"crash";
-/// Time from the beginning of such a run to the crash: a model server crashed 40 to 180
-/// ms after it had begun.
+/// Time from the start of such a run to the crash: a model server crashed 40 to 180 ms
+/// after the start of a run.
 const CRASH_AFTER: Duration = Duration::from_millis(40);
 
-/// When a stream is broken off.
+/// Point at which a stream is broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BreakPoint {
     /// Before its first event.
@@ -97,14 +97,14 @@
     AfterEvent,
     /// In the middle of its second event.
     InEvent,
-    /// After the last event, before the end.
+    /// After the last event, before the end of the stream.
     BeforeEnd,
 }
 
-/// A request as the stand-in received it.
+/// A request that the stub ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedRequest {
-    /// What its head says.
+    /// Parsed headers of the request.
     pub call: ReceivedCall,
     /// Method.
     pub method: String,
@@ -116,20 +116,20 @@
 
 #[derive(Default)]
 struct ServerState {
-    failing: ServerFault,
-    /// Name of its life; requests for another one are turned away.
+    fault: ServerFault,
+    /// Name of the instance; requests for another one are rejected.
     name: Option<String>,
     address: Option<SocketAddr>,
-    word: StubSignals,
+    signals: StubSignals,
     arrivals: Vec<ArrivedRequest>,
     runs: Vec<ReceivedRequest>,
-    /// Answers that were under way when their connection closed.
+    /// Number of responses that were in progress when their connection closed.
     cut: usize,
-    /// Whether a request has crashed it.
+    /// Whether the stub has crashed.
     is_crashed: bool,
 }
 
-/// A running stand-in of a server.
+/// A running stub of a server.
 pub struct ServerStub {
     state: Arc<Mutex<ServerState>>,
     thread: ServingThread,
@@ -141,9 +141,9 @@
     "id: 2\ndata: b\n\n",
     "id: 3\ndata: c\n\n",
 ];
-/// Pause before each event.
+/// Delay before each event.
 const EVENT_PAUSE: Duration = Duration::from_millis(20);
-/// Path below which answers are streams.
+/// Prefix of the paths whose responses are streams.
 const STREAM_PATH: &str = "/stream/";
 
 impl ServerStub {
@@ -158,36 +158,36 @@
         let stop = StopSignal::default();
         let crash = StopSignal::clone(&stop);
         let thread = ServingThread::start(SocketAddr::new(ip, 0), stop, move |request| {
-            answer(Arc::clone(&served), StopSignal::clone(&crash), request)
+            respond(Arc::clone(&served), StopSignal::clone(&crash), request)
         })?;
         state.lock().address = Some(thread.address());
         Ok(Self { state, thread })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.thread.address()
     }
 
-    /// Crashes it: its port and connections are closed; what it ran is still told.
+    /// Crashes it: its port and connections are closed; its recorded requests stay available.
     pub fn crash(&self) {
         self.state.lock().is_crashed = true;
         self.thread.stop();
     }
 
-    /// Sets what it does with requests.
-    pub fn set_fault(&self, failing: ServerFault) {
-        self.state.lock().failing = failing;
+    /// Sets how it handles requests.
+    pub fn set_fault(&self, fault: ServerFault) {
+        self.state.lock().fault = fault;
     }
 
-    /// Names its life: it turns requests away that are meant for another one.
+    /// Sets the name of its instance: it rejects requests for another one.
     pub fn set_name(&self, name: &str) {
         self.state.lock().name = Some(name.to_owned());
     }
 
-    /// Sets what it says of itself.
-    pub fn set_signals(&self, word: StubSignals) {
-        self.state.lock().word = word;
+    /// Sets the signals in its responses.
+    pub fn set_signals(&self, signals: StubSignals) {
+        self.state.lock().signals = signals;
     }
 
     /// The requests that reached it, without the first `from`.
@@ -213,23 +213,23 @@
         runs.map(|run| run.call.clone()).collect()
     }
 
-    /// Whether a request has crashed it: its port and connections are closed.
+    /// Whether it has crashed: its port and connections are closed.
     pub fn is_crashed(&self) -> bool {
         self.state.lock().is_crashed
     }
 
-    /// Answers that were under way when their connection closed.
+    /// Number of responses that were in progress when their connection closed.
     pub fn cut(&self) -> usize {
         self.state.lock().cut
     }
 
-    /// The whole stream that it sends.
+    /// The complete stream that it sends.
     pub fn whole_stream() -> String {
         EVENTS.concat()
     }
 }
 
-/// Counts an answer as cut when its connection closes before its end.
+/// Counts a response as cut if its connection closes before its end.
 struct CutGuard {
     state: Arc<Mutex<ServerState>>,
     is_over: bool,
@@ -243,15 +243,15 @@
     }
 }
 
-/// Whether a request is meant for another life.
-fn is_for_another(state: &Mutex<ServerState>, call: &ReceivedCall) -> bool {
+/// Whether a request is meant for another instance.
+fn is_for_other_instance(state: &Mutex<ServerState>, call: &ReceivedCall) -> bool {
     let state = state.lock();
     let named = state.name.as_ref().zip(call.expected_server.as_ref());
     named.is_some_and(|(own, expected)| own != expected)
 }
 
-/// Notes that a request has arrived; its number.
-fn note_arrival(
+/// Records that a request has arrived; returns its number.
+fn record_arrival(
     state: &Mutex<ServerState>,
     from: Option<&PeerAddress>,
     call: &ReceivedCall,
@@ -266,25 +266,25 @@
     state.arrivals.len()
 }
 
-async fn answer(
+async fn respond(
     state: Arc<Mutex<ServerState>>,
     crash: StopSignal,
     request: Request<Incoming>,
 ) -> Result<Response<EventBody>, io::Error> {
     let (head, body) = request.into_parts();
     let call = received_call(&head.headers);
-    if is_for_another(&state, &call) {
+    if is_for_other_instance(&state, &call) {
         return Ok(whole(StatusCode::MISDIRECTED_REQUEST, ""));
     }
-    let number = note_arrival(&state, head.extensions.get(), &call);
+    let number = record_arrival(&state, head.extensions.get(), &call);
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let mut said = state.lock().word;
+    let mut said = state.lock().signals;
     said.rest = said.rest.filter(|rest| number.is_multiple_of(rest.every));
     let mut response = if let Some(rest) = said.rest {
-        let mut refusal = whole(StatusCode::SERVICE_UNAVAILABLE, "");
-        mark_not_run(refusal.headers_mut());
-        set_retry_after(refusal.headers_mut(), rest.seconds);
-        refusal
+        let mut rejection = whole(StatusCode::SERVICE_UNAVAILABLE, "");
+        mark_not_run(rejection.headers_mut());
+        set_retry_after(rejection.headers_mut(), rest.seconds);
+        rejection
     } else {
         run(Arc::clone(&state), crash, &head, call, body).await?
     };
@@ -294,12 +294,12 @@
     if let Some(limit) = said.limit {
         set_server_limit(response.headers_mut(), limit);
     }
-    // A request that gets no answer is told nothing.
+    // A request without a response has received no signals.
     state.lock().arrivals[number - 1].said = said;
     Ok(response)
 }
 
-/// Does with a request what the stand-in is set to do.
+/// Handles a request according to the fault of the stub.
 async fn run(
     state: Arc<Mutex<ServerState>>,
     crash: StopSignal,
@@ -307,23 +307,23 @@
     call: ReceivedCall,
     body: Bytes,
 ) -> Result<Response<EventBody>, io::Error> {
-    let failing = state.lock().failing;
-    match failing {
+    let fault = state.lock().fault;
+    match fault {
         ServerFault::Rejects => {
-            let mut refusal = whole(StatusCode::SERVICE_UNAVAILABLE, "");
-            mark_not_run(refusal.headers_mut());
-            return Ok(refusal);
+            let mut rejection = whole(StatusCode::SERVICE_UNAVAILABLE, "");
+            mark_not_run(rejection.headers_mut());
+            return Ok(rejection);
         }
         ServerFault::Replaced => return Ok(whole(StatusCode::MISDIRECTED_REQUEST, "")),
         _ => {}
     }
     let address = state.lock().address;
     if let (Some(run), Some(address)) = (&call.copy_from, address)
-        && (!take_copy(address, run) || failing == ServerFault::BreaksAndLosesBackups)
+        && (!take_copy(address, run) || fault == ServerFault::BreaksAndLosesBackups)
     {
-        let mut refusal = whole(StatusCode::SERVICE_UNAVAILABLE, "");
-        mark_not_run(refusal.headers_mut());
-        return Ok(refusal);
+        let mut rejection = whole(StatusCode::SERVICE_UNAVAILABLE, "");
+        mark_not_run(rejection.headers_mut());
+        return Ok(rejection);
     }
     if let (Some(backup), Some(address)) = (call.copy_to, address) {
         put_copy(backup, format!("{address}/{}", call.request_id));
@@ -344,15 +344,15 @@
         state,
         is_over: false,
     };
-    let mut response = match failing {
+    let mut response = match fault {
         ServerFault::Fails => whole(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
         ServerFault::Closes => {
             guard.is_over = true;
-            return Err(io::Error::other("closed by the stand-in"));
+            return Err(io::Error::other("closed by the stub"));
         }
         ServerFault::Unresponsive => std::future::pending().await,
         _ if is_stream => {
-            Response::new(EventBody::stream(&call, failing, guard).with_endless(is_crashing))
+            Response::new(EventBody::stream(&call, fault, guard).with_endless(is_crashing))
         }
         _ if is_crashing => std::future::pending().await,
         _ => {
@@ -360,7 +360,7 @@
             whole(StatusCode::OK, "answer")
         }
     };
-    let id = match failing {
+    let id = match fault {
         ServerFault::WrongResponse => "somebody-else",
         _ => &call.request_id,
     };
@@ -382,18 +382,18 @@
     response
 }
 
-/// A body that is known whole, or a stream of events.
+/// A complete body, or a stream of events.
 pub struct EventBody {
     events: Vec<&'static str>,
     breaks: bool,
-    /// Whether its last event never comes.
+    /// Whether the last event is never sent.
     is_endless: bool,
     pause: Option<Pin<Box<Sleep>>>,
     guard: Option<CutGuard>,
 }
 
 impl BreakPoint {
-    /// Leaves what is sent before it.
+    /// Truncates `events` to those sent before the break.
     fn cut(self, events: &mut Vec<&'static str>) {
         match self {
             Self::BeforeEvents => events.clear(),
@@ -420,20 +420,20 @@
         }
     }
 
-    fn stream(call: &ReceivedCall, failing: ServerFault, guard: CutGuard) -> Self {
+    fn stream(call: &ReceivedCall, fault: ServerFault, guard: CutGuard) -> Self {
         let sent = call.last_event.as_deref().and_then(|id| id.parse().ok());
         let mut events = EVENTS[sent.unwrap_or(0)..].to_vec();
-        let begins_here = call.copy_from.is_none();
-        let breaks = match failing {
+        let starts_here = call.copy_from.is_none();
+        let breaks = match fault {
             ServerFault::Disconnects => {
                 events.truncate(1);
                 true
             }
-            ServerFault::BreaksStreams(moment) if begins_here => {
+            ServerFault::BreaksStreams(moment) if starts_here => {
                 moment.cut(&mut events);
                 true
             }
-            ServerFault::BreaksAndLosesBackups if begins_here => {
+            ServerFault::BreaksAndLosesBackups if starts_here => {
                 BreakPoint::AfterEvent.cut(&mut events);
                 true
             }
@@ -450,7 +450,7 @@
 }
 
 impl EventBody {
-    /// Holds the last event back: the server crashes before.
+    /// If `is_endless`, never sends the last event: the server crashes before it.
     fn with_endless(self, is_endless: bool) -> Self {
         Self { is_endless, ..self }
     }
@@ -482,7 +482,7 @@
             guard.is_over = true;
         }
         if this.breaks {
-            return Poll::Ready(Some(Err(io::Error::other("broken off by the stand-in"))));
+            return Poll::Ready(Some(Err(io::Error::other("disconnected by the stub"))));
         }
         Poll::Ready(None)
     }
--- a/crates/fakes/src/service.rs
+++ b/crates/fakes/src/service.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a plain service that counts its runs by request id.
+//! Stub of a plain service that counts its runs by request id.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,14 +14,14 @@
 use crate::control::{BODY_LIMIT, send, take_faults};
 use crate::slots::SlotGate;
 
-/// How a service behaves.
+/// Settings of a service.
 #[derive(Clone, Debug)]
 pub struct ServiceSettings {
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Time for one request.
+    /// Processing time of one request.
     pub work: Duration,
-    /// Its life.
+    /// Incarnation in its load report.
     pub incarnation: u64,
 }
 
@@ -39,11 +39,11 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct ServiceFaults {
-    /// Runs the request, then drops the connection without an answer.
+    /// Runs the request, then drops the connection without a response.
     pub drop_answer: bool,
-    /// Refuses with 429 before running.
+    /// Rejects requests with 429 before running them.
     pub refusing: bool,
-    /// Refuses and says in its report that it leaves.
+    /// Rejects requests with 429 and reports that it is draining.
     pub draining: bool,
 }
 
@@ -88,17 +88,17 @@
         Ok(Self { server, shared })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes the faults.
+    /// Replaces the faults.
     pub fn set_faults(&self, faults: ServiceFaults) {
         self.shared.state.lock().faults = faults;
     }
 
-    /// Runs, by request id.
+    /// Number of runs, by request id.
     pub fn runs(&self) -> BTreeMap<String, u64> {
         self.shared.state.lock().runs.clone()
     }
@@ -154,6 +154,6 @@
         return;
     }
     let path = request.path().to_owned();
-    let answer = json!({"id": id, "count": count, "path": path, "length": body.len()});
-    send(responder, 200, &answer);
+    let response = json!({"id": id, "count": count, "path": path, "length": body.len()});
+    send(responder, 200, &response);
 }
--- a/crates/fakes/src/serving.rs
+++ b/crates/fakes/src/serving.rs
@@ -1,4 +1,4 @@
-//! A thread that serves HTTP with an event loop of its own.
+//! A thread that serves HTTP on its own event loop.
 
 use std::error::Error;
 use std::future::Future;
@@ -14,10 +14,10 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-/// Ends a serving thread: its port and every connection are closed at once.
+/// Stops a serving thread, which closes its port and every connection at once.
 pub type StopSignal = Arc<Notify>;
 
-/// Other end of the connection that a request came on; each request carries it.
+/// Peer address of a request's connection, attached to each request as an extension.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerAddress(pub SocketAddr);
 
@@ -29,8 +29,8 @@
 }
 
 impl ServingThread {
-    /// Serves `address` with `answer` until `stop` is notified; an error of `answer`
-    /// closes the connection without an answer.
+    /// Serves `address` with `handler` until `stop` is notified. An error of `handler`
+    /// closes the connection without a response.
     ///
     /// # Errors
     ///
@@ -38,7 +38,7 @@
     pub fn start<F, B, E>(
         address: SocketAddr,
         stop: StopSignal,
-        answer: impl Fn(Request<Incoming>) -> F + Clone + Send + 'static,
+        handler: impl Fn(Request<Incoming>) -> F + Clone + Send + 'static,
     ) -> std::io::Result<Self>
     where
         F: Future<Output = Result<Response<B>, E>> + 'static,
@@ -52,7 +52,7 @@
         let stopped = Arc::clone(&stop);
         let thread = thread::Builder::new()
             .name("stand-in".to_owned())
-            .spawn(move || serve(listener, &stopped, &answer))?;
+            .spawn(move || serve(listener, &stopped, &handler))?;
         Ok(Self {
             address,
             stop,
@@ -60,12 +60,12 @@
         })
     }
 
-    /// Closes its port and every connection.
+    /// Closes the port and every connection.
     pub fn stop(&self) {
         self.stop.notify_one();
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -77,7 +77,7 @@
         if let Some(thread) = self.thread.take()
             && thread.join().is_err()
         {
-            log::error!("a stand-in's thread panicked");
+            log::error!("the thread of a stub panicked");
         }
     }
 }
@@ -85,7 +85,7 @@
 fn serve<F, B, E>(
     listener: std::net::TcpListener,
     stopped: &Notify,
-    answer: &(impl Fn(Request<Incoming>) -> F + Clone + Send + 'static),
+    handler: &(impl Fn(Request<Incoming>) -> F + Clone + Send + 'static),
 ) where
     F: Future<Output = Result<Response<B>, E>> + 'static,
     B: Body<Data = Bytes> + 'static,
@@ -98,7 +98,7 @@
     let runtime = match runtime {
         Ok(runtime) => runtime,
         Err(e) => {
-            log::error!("a stand-in has no event loop: {e}");
+            log::error!("cannot start the event loop of a stub: {e}");
             return;
         }
     };
@@ -107,22 +107,22 @@
         let listener = match TcpListener::from_std(listener) {
             Ok(listener) => listener,
             Err(e) => {
-                log::error!("a stand-in cannot listen: {e}");
+                log::error!("a stub cannot listen: {e}");
                 return;
             }
         };
         let accepting = async {
             while let Ok((stream, peer)) = listener.accept().await {
-                let answer = answer.clone();
+                let handler = handler.clone();
                 let service = service_fn(move |mut request| {
                     request.extensions_mut().insert(PeerAddress(peer));
-                    answer(request)
+                    handler(request)
                 });
                 tokio::task::spawn_local(async move {
                     let connection = http1::Builder::new();
                     let served = connection.serve_connection(TokioIo::new(stream), service);
                     if let Err(e) = served.await {
-                        log::debug!("a connection to a stand-in ended: {e}");
+                        log::debug!("a connection to a stub failed: {e}");
                     }
                 });
             }
--- a/crates/fakes/src/slots.rs
+++ b/crates/fakes/src/slots.rs
@@ -1,4 +1,4 @@
-//! Slots of a stand-in server: requests wait in order of priority.
+//! Slots of a server stub: requests wait in order of priority.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,14 +13,14 @@
     waiting: BTreeSet<(u8, u64)>,
 }
 
-/// A counter of slots with a priority queue before it.
+/// A counter of slots with a priority queue of waiting requests.
 #[derive(Default)]
 pub(crate) struct SlotGate {
     state: Mutex<SlotState>,
     freed: Condvar,
 }
 
-/// Running and waiting requests.
+/// Numbers of running and waiting requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SlotLoad {
     pub(crate) running: u32,
@@ -28,20 +28,20 @@
 }
 
 impl SlotGate {
-    /// Takes a slot, waiting for it; `None` once `given_up` says so.
+    /// Waits for a slot and takes it; `None` once `is_cancelled` returns true.
     pub(crate) fn take(
         self: &Arc<Self>,
         slots: u32,
         priority: u8,
-        given_up: impl Fn() -> bool,
+        is_cancelled: impl Fn() -> bool,
     ) -> Option<SlotHold> {
-        const LOOK: Duration = Duration::from_millis(20);
+        const CANCEL_POLL: Duration = Duration::from_millis(20);
         let mut state = self.state.lock();
         let key = (priority, state.next);
         state.next += 1;
         state.waiting.insert(key);
         loop {
-            if given_up() {
+            if is_cancelled() {
                 state.waiting.remove(&key);
                 return None;
             }
@@ -53,7 +53,7 @@
                     gate: Arc::clone(self),
                 });
             }
-            self.freed.wait_for(&mut state, LOOK);
+            self.freed.wait_for(&mut state, CANCEL_POLL);
         }
     }
 
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's store as the adapter speaks to it.
+//! Stub of the platform's store, with the protocol that the adapter uses.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -23,51 +23,51 @@
 
 use crate::serving::{ServingThread, StopSignal};
 
-/// Longest time that the stand-in holds a watch; tests need no longer one.
+/// Longest time that the stub keeps a watch open; tests need no longer one.
 const LONGEST_WATCH: Duration = Duration::from_millis(500);
 
 /// How the store behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreMode {
-    /// As it should.
+    /// Answers every call.
     #[default]
-    Well,
-    /// Every call is refused.
+    Normal,
+    /// Rejects every call with 503.
     Refusing,
-    /// No call is answered.
-    Silent,
+    /// Answers no call.
+    Unresponsive,
 }
 
-/// What a copy of the store holds.
+/// Contents of the store, or of a snapshot of it.
 #[derive(Clone, Default)]
 struct StoreData {
     items: BTreeMap<String, StoreItem>,
     history: Vec<StoreEvent>,
-    forgotten: u64,
+    compacted: u64,
     revision: u64,
 }
 
 #[derive(Default)]
 struct StoreState {
     data: StoreData,
-    /// A copy to come back from.
-    kept: StoreData,
+    /// The snapshot to restore.
+    snapshot: StoreData,
     era: u16,
     mode: StoreMode,
     open_watches: usize,
-    /// Watches to come that are never answered.
-    deaf_watches: usize,
-    /// Watches that were answered.
+    /// Number of future watches that are never answered.
+    stalled_watches: usize,
+    /// Number of watches that were answered.
     answered_watches: usize,
     answered_ranges: usize,
-    /// Changes under a condition that were made.
+    /// Number of conditional writes that took effect.
     writes: usize,
-    /// Such changes to come whose answer is lost.
-    lost_answers: usize,
+    /// Number of future conditional writes that take effect but are never answered.
+    lost_responses: usize,
 }
 
 impl StoreData {
-    /// Sets a key at the present revision.
+    /// Sets a key at the current revision.
     fn set(&mut self, key: &str, value: Bytes) {
         let item = StoreItem {
             key: key.to_owned(),
@@ -90,7 +90,7 @@
 }
 
 impl StoreState {
-    /// Makes a change if its condition holds; whether it was made.
+    /// Applies a write if its condition holds; returns whether it was applied.
     fn write(&mut self, write: &StoreWrite) -> bool {
         let data = &mut self.data;
         let revision = |key: &String| data.items.get(key).map_or(0, |item| item.revision);
@@ -113,7 +113,7 @@
     changed: Notify,
 }
 
-/// A running stand-in of the store.
+/// A running stub of the store.
 pub struct StoreStub {
     shared: Arc<StoreShared>,
     thread: ServingThread,
@@ -130,12 +130,12 @@
         let served = Arc::clone(&shared);
         let address = SocketAddr::new(ip, 0);
         let thread = ServingThread::start(address, StopSignal::default(), move |request| {
-            answer(Arc::clone(&served), request)
+            respond(Arc::clone(&served), request)
         })?;
         Ok(Self { shared, thread })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.thread.address()
     }
@@ -154,12 +154,12 @@
         state.data.items.get(key).map(|item| item.value.clone())
     }
 
-    /// Loses the answers of so many changes to come, which are made.
+    /// Makes the next `count` conditional writes take effect without a response.
     pub fn drop_write_responses(&self, count: usize) {
-        self.shared.state.lock().lost_answers += count;
+        self.shared.state.lock().lost_responses += count;
     }
 
-    /// Changes under a condition that were made so far.
+    /// Number of conditional writes that took effect so far.
     pub fn writes(&self) -> usize {
         self.shared.state.lock().writes
     }
@@ -170,49 +170,48 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// Keeps a copy of everything, in place of the one before.
+    /// Saves a snapshot of the store, which replaces the previous one.
     pub fn save_snapshot(&self) {
         let state = &mut *self.shared.state.lock();
-        state.kept = state.data.clone();
+        state.snapshot = state.data.clone();
     }
 
-    /// Comes back from the copy: what was written since is gone, and its revisions are
-    /// given out again.
+    /// Restores the snapshot: later writes are lost, and their revisions are reused.
     pub fn restore_snapshot(&self) {
         let state = &mut *self.shared.state.lock();
-        state.data = state.kept.clone();
+        state.data = state.snapshot.clone();
         state.era += 1;
         self.shared.changed.notify_waiters();
     }
 
-    /// Drops the history, so that watches from before are refused.
+    /// Drops the history, so that watches from earlier revisions are rejected.
     pub fn compact_history(&self) {
         let data = &mut self.shared.state.lock().data;
         data.history.clear();
-        data.forgotten = data.revision;
+        data.compacted = data.revision;
     }
 
-    /// Watches that wait for a change now.
+    /// Number of watches that are waiting for a change.
     pub fn open_watches(&self) -> usize {
         self.shared.state.lock().open_watches
     }
 
-    /// Lets the next watch wait for ever, whatever changes.
+    /// Makes the next watch wait forever, whatever changes.
     pub fn stall_next_watch(&self) {
-        self.shared.state.lock().deaf_watches += 1;
+        self.shared.state.lock().stalled_watches += 1;
     }
 
-    /// Whether a watch that is to wait for ever has not come yet.
+    /// Whether a watch that is to wait forever has not arrived yet.
     pub fn awaits_stalled_watch(&self) -> bool {
-        self.shared.state.lock().deaf_watches > 0
+        self.shared.state.lock().stalled_watches > 0
     }
 
-    /// Watches that were answered so far.
+    /// Number of watches that were answered so far.
     pub fn answered_watches(&self) -> usize {
         self.shared.state.lock().answered_watches
     }
 
-    /// Reads of a page that were answered so far.
+    /// Number of page reads that were answered so far.
     pub fn answered_ranges(&self) -> usize {
         self.shared.state.lock().answered_ranges
     }
@@ -223,17 +222,17 @@
     }
 }
 
-async fn answer(
+async fn respond(
     shared: Arc<StoreShared>,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
-    let mut response = answer_call(&shared, request).await?;
+    let mut response = respond_to_call(&shared, request).await?;
     let era = StoreEra::new(shared.state.lock().era);
     set_store_era(response.headers_mut(), era);
     Ok(response)
 }
 
-async fn answer_call(
+async fn respond_to_call(
     shared: &StoreShared,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
@@ -258,12 +257,12 @@
             reply(StatusCode::OK, page_body(&items, state.data.revision))
         }
         Some(StoreCall::Watch { after, wait, .. }) => {
-            if take_deaf(shared) {
+            if take_stalled(shared) {
                 std::future::pending::<()>().await;
             }
-            let answer = watch(shared, after, wait).await;
+            let response = watch(shared, after, wait).await;
             shared.state.lock().answered_watches += 1;
-            answer
+            response
         }
         None => reply(StatusCode::NOT_FOUND, String::new()),
     })
@@ -279,35 +278,35 @@
     let Some(write) = read_store_write(&body.to_bytes()) else {
         return Ok(reply(StatusCode::BAD_REQUEST, String::new()));
     };
-    let (is_made, revision, is_lost) = {
+    let (is_applied, revision, is_lost) = {
         let mut state = shared.state.lock();
-        let is_made = state.write(&write);
-        let is_lost = is_made && state.lost_answers > 0;
-        state.lost_answers -= usize::from(is_lost);
-        (is_made, state.data.revision, is_lost)
+        let is_applied = state.write(&write);
+        let is_lost = is_applied && state.lost_responses > 0;
+        state.lost_responses -= usize::from(is_lost);
+        (is_applied, state.data.revision, is_lost)
     };
-    if is_made {
+    if is_applied {
         shared.changed.notify_waiters();
     }
     if is_lost {
         std::future::pending::<()>().await;
     }
-    Ok(if is_made {
+    Ok(if is_applied {
         reply(StatusCode::OK, written_body(revision))
     } else {
         reply(StatusCode::PRECONDITION_FAILED, String::new())
     })
 }
 
-/// Whether this watch is one that waits for ever.
-fn take_deaf(shared: &StoreShared) -> bool {
+/// Whether this watch is to wait forever; counts it.
+fn take_stalled(shared: &StoreShared) -> bool {
     let mut state = shared.state.lock();
-    let is_deaf = state.deaf_watches > 0;
-    state.deaf_watches -= usize::from(is_deaf);
-    is_deaf
+    let is_stalled = state.stalled_watches > 0;
+    state.stalled_watches -= usize::from(is_stalled);
+    is_stalled
 }
 
-/// Counts a watch as open while it lives.
+/// Counts a watch as open until dropped.
 struct OpenWatch<'a>(&'a StoreShared);
 
 impl<'a> OpenWatch<'a> {
@@ -325,18 +324,18 @@
 
 async fn watch(shared: &StoreShared, after: u64, wait: Duration) -> Response<Full<Bytes>> {
     let changed = shared.changed.notified();
-    if let Some(reply) = news(shared, after) {
+    if let Some(reply) = changes_since(shared, after) {
         return reply;
     }
     let open = OpenWatch::start(shared);
     let _ = tokio::time::timeout(wait.min(LONGEST_WATCH), changed).await;
     drop(open);
-    news(shared, after).unwrap_or_else(|| reply(StatusCode::OK, batch_body(&[], after)))
+    changes_since(shared, after).unwrap_or_else(|| reply(StatusCode::OK, batch_body(&[], after)))
 }
 
-fn news(shared: &StoreShared, after: u64) -> Option<Response<Full<Bytes>>> {
+fn changes_since(shared: &StoreShared, after: u64) -> Option<Response<Full<Bytes>>> {
     let data = &shared.state.lock().data;
-    if after < data.forgotten || after > data.revision {
+    if after < data.compacted || after > data.revision {
         return Some(reply(StatusCode::GONE, String::new()));
     }
     let events: Vec<StoreEvent> = data
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,11 +1,10 @@
-//! Decisions over a fleet of backend servers that come and go by themselves.
+//! Routing decisions over a dynamic fleet of backend servers.
 //!
-//! Pure code: no I/O, no clock. The store's items enter through [`StoreMirror`],
-//! servers live in [`FleetView`], and a request asks [`FleetView::choose`] and
-//! [`RemoteTable::best`] where to go. Limits that all VMs share ([`RetryShare`],
-//! [`ColdShare`], [`QuotaTable`]) are split so that no coordination is needed.
+//! Pure code: no I/O, no clock. Store items enter through [`StoreMirror`], servers are
+//! kept in [`FleetView`], and requests are routed by [`FleetView::choose`] and
+//! [`RemoteTable::best`]. Limits shared by all VMs ([`RetryShare`], [`ColdShare`],
+//! [`QuotaTable`]) are split so that no coordination is needed.
 
-mod away;
 mod backup;
 mod balance;
 mod budget;
@@ -25,6 +24,7 @@
 mod predict;
 mod quota;
 mod record;
+mod remote;
 mod route;
 mod server;
 mod signs;
@@ -35,7 +35,6 @@
 mod word;
 mod work;
 
-pub use away::{RemoteOption, RemoteSearch, RemoteTable, ServiceLoad, goes_remote};
 pub use backup::BackupDecision;
 pub use balance::RateKind;
 pub use budget::{BudgetLimits, RetryShare};
@@ -54,10 +53,11 @@
 pub use mirror::{
     MirrorChange, MirrorDelta, RETURN_WINDOW, StoreEvent, StoreHealth, StoreItem, StoreMirror,
 };
-pub use pools::LEAST_WORKING;
+pub use pools::MIN_WORKING;
 pub use predict::TimePrediction;
 pub use quota::{QuotaDecision, QuotaPeers, QuotaSettings, QuotaTable};
 pub use record::{ServerPhase, ServerRecord};
+pub use remote::{RemoteOption, RemoteSearch, RemoteTable, ServiceLoad, goes_remote};
 pub use route::{
     BackendService, CallerLimits, ConfigVersion, EngineLimits, RepeatRule, ResponseShape,
     RouteRule, RouteTable, RouteTarget,
--- a/crates/load/src/arrivals.rs
+++ b/crates/load/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! Poisson arrivals, planned before the run so that a seed fixes them.
+//! Poisson arrivals, drawn before the run so that they depend on the seed alone.
 
 use std::time::Duration;
 
@@ -10,19 +10,19 @@
 /// A request to send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannedArrival {
-    /// When, since the start.
+    /// Time of arrival, from the start of the load.
     pub at: Duration,
-    /// Index of the region.
+    /// Index of the region in the scenario.
     pub region: usize,
-    /// Index of the kind.
+    /// Index of the request kind in the scenario.
     pub kind: usize,
     /// Number of the prompt prefix.
     pub prefix: u64,
-    /// Draw that picks the entry.
+    /// Index of the entry in the region.
     pub entry: usize,
 }
 
-/// Plans every arrival of a scenario, in order of time.
+/// Draws the arrivals of a scenario, in order of time.
 ///
 /// ```
 /// use onyxfall_load::{parse_scenario, plan_arrivals};
@@ -44,7 +44,8 @@
     arrivals
 }
 
-/// Draws at the peak rate and keeps each draw with the chance of its moment.
+/// Draws arrivals of one kind in one region by thinning: draws at the peak rate, and keeps
+/// each draw with the probability of the rate at its time over the peak rate.
 fn plan_stream(
     scenario: &LoadScenario,
     region: usize,
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -1,4 +1,5 @@
-//! One caller: sends, reads the whole answer, tries again when refused.
+//! One caller: sends a request, reads the complete response, and retries a request that
+//! was rejected or lost.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -9,44 +10,44 @@
 
 use crate::scenario::{CallerRetry, LoadKind, LoadRegion};
 
-/// Time beyond the deadline for which a caller still reads.
+/// Time after the deadline for which a caller keeps reading.
 const READ_SLACK: Duration = Duration::from_secs(20);
 
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallOutcome {
-    /// A whole answer.
+    /// The caller received a complete response.
     Answered,
-    /// Told that it was not run.
+    /// The response states that the request was not run.
     NotRun,
-    /// Told that it may have run.
+    /// The response states that the request may have run.
     MayHaveRun,
-    /// An answer that broke off.
+    /// The response ended early.
     Broken,
-    /// No connection to any entry, or no answer.
+    /// No connection to an entry, or no response.
     Lost,
 }
 
-/// What a caller saw.
+/// What a caller observed of one request.
 #[derive(Clone, Debug)]
 pub struct CallResult {
-    /// How it ended.
+    /// How the request ended.
     pub outcome: CallOutcome,
-    /// From the intended start to the first byte of the answer.
+    /// Time from the intended start to the first byte of the response.
     pub first_byte: Duration,
-    /// From the intended start to the end.
+    /// Time from the intended start to the end.
     pub whole: Duration,
-    /// Whether another region served it.
-    pub away: bool,
-    /// Attempts that the caller made.
+    /// Whether another region served the request.
+    pub is_remote: bool,
+    /// Number of attempts that the caller made.
     pub attempts: u32,
-    /// Ids of every attempt that was answered.
+    /// Ids of the attempts that were answered.
     pub request_ids: Vec<String>,
-    /// Ids of the attempts that were told not-run.
+    /// Ids of the attempts whose response states that they were not run.
     pub not_run_ids: Vec<String>,
 }
 
-/// Sends one request; `late` is how long after the intended start this began.
+/// Sends one request, with retries; `late` is the delay since the intended start.
 pub(crate) fn call(
     region: &LoadRegion,
     kind: &LoadKind,
@@ -59,7 +60,7 @@
         outcome: CallOutcome::Lost,
         first_byte: Duration::ZERO,
         whole: Duration::ZERO,
-        away: false,
+        is_remote: false,
         attempts: 0,
         request_ids: Vec::new(),
         not_run_ids: Vec::new(),
@@ -68,41 +69,46 @@
     loop {
         let address = region.entries[(entry + tries as usize) % region.entries.len()];
         result.attempts += 1;
-        let seen = attempt(address, region, kind, prefix);
-        result.outcome = seen.outcome;
-        result.away = seen.away;
-        result.first_byte = late + seen.first_byte.saturating_duration_since(started);
+        let attempted = attempt(address, region, kind, prefix);
+        result.outcome = attempted.outcome;
+        result.is_remote = attempted.is_remote;
+        result.first_byte = late + attempted.first_byte.saturating_duration_since(started);
         result.whole = late + started.elapsed();
-        if seen.outcome == CallOutcome::NotRun {
-            result.not_run_ids.push(seen.request_id.clone());
+        if attempted.outcome == CallOutcome::NotRun {
+            result.not_run_ids.push(attempted.request_id.clone());
         }
-        if !seen.request_id.is_empty() {
-            result.request_ids.push(seen.request_id);
+        if !attempted.request_id.is_empty() {
+            result.request_ids.push(attempted.request_id);
         }
-        let again = matches!(seen.outcome, CallOutcome::NotRun | CallOutcome::Lost);
+        let again = matches!(attempted.outcome, CallOutcome::NotRun | CallOutcome::Lost);
         if !again || tries >= kind.retry.limit() || result.whole >= kind.deadline {
             return result;
         }
         tries += 1;
         if let CallerRetry::AfterPause(_) = kind.retry {
-            thread::sleep(seen.retry_after);
+            thread::sleep(attempted.retry_after);
         }
     }
 }
 
-struct AttemptSeen {
+struct AttemptResult {
     outcome: CallOutcome,
     first_byte: Instant,
-    away: bool,
+    is_remote: bool,
     request_id: String,
     retry_after: Duration,
 }
 
-fn attempt(address: SocketAddr, region: &LoadRegion, kind: &LoadKind, prefix: u64) -> AttemptSeen {
-    let mut seen = AttemptSeen {
+fn attempt(
+    address: SocketAddr,
+    region: &LoadRegion,
+    kind: &LoadKind,
+    prefix: u64,
+) -> AttemptResult {
+    let mut attempted = AttemptResult {
         outcome: CallOutcome::Lost,
         first_byte: Instant::now(),
-        away: false,
+        is_remote: false,
         request_id: String::new(),
         retry_after: Duration::ZERO,
     };
@@ -125,7 +131,7 @@
         "stream": kind.stream,
     });
     let Ok(response) = call.send(body.to_string()) else {
-        return seen;
+        return attempted;
     };
     let header = |name: &str| {
         let value = response
@@ -136,25 +142,21 @@
     };
     let verdict = header("onyxfall-verdict");
     let served = header("onyxfall-served-region");
-    seen.request_id = header("onyxfall-request-id");
-    seen.away = !served.is_empty() && served != region.name.as_str();
-    seen.retry_after = Duration::from_secs(header("retry-after").parse().unwrap_or(0));
+    attempted.request_id = header("onyxfall-request-id");
+    attempted.is_remote = !served.is_empty() && served != region.name.as_str();
+    attempted.retry_after = Duration::from_secs(header("retry-after").parse().unwrap_or(0));
     let status = response.status().as_u16();
     let mut reader = response.into_body().into_reader();
-    seen.outcome = match (status, verdict.as_str()) {
-        (200, _) => classify_response(&mut reader, kind, &mut seen.first_byte),
+    attempted.outcome = match (status, verdict.as_str()) {
+        (200, _) => read_response(&mut reader, kind, &mut attempted.first_byte),
         (_, "not-run") => CallOutcome::NotRun,
         _ => CallOutcome::MayHaveRun,
     };
-    seen
+    attempted
 }
 
-/// Reads to the end; a stream must end with its sentinel.
-fn classify_response(
-    reader: &mut impl Read,
-    kind: &LoadKind,
-    first_byte: &mut Instant,
-) -> CallOutcome {
+/// Reads the body to its end; a stream must end with its `[DONE]` event.
+fn read_response(reader: &mut impl Read, kind: &LoadKind, first_byte: &mut Instant) -> CallOutcome {
     let mut chunk = [0; 4096];
     let mut tail = Vec::new();
     let mut any = false;
--- a/crates/load/src/events.rs
+++ b/crates/load/src/events.rs
@@ -1,4 +1,4 @@
-//! Faults set in the stand-ins, and their counts read at the end.
+//! Requests to the stubs: sets their faults during a run, and reads their counts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
         .new_agent()
 }
 
-/// Posts each event at its time.
+/// Posts each event at its planned time.
 pub(crate) fn run_events(events: &[LoadEvent], started: Instant) {
     let agent = agent();
     for event in events {
@@ -39,19 +39,19 @@
     eprintln!("{text}");
 }
 
-/// What a stand-in counted.
+/// Counts of a stub.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct StandInCounts {
-    /// Runs by request id.
+pub(crate) struct StubCounts {
+    /// Number of runs, by request id.
     pub(crate) runs: BTreeMap<String, u64>,
-    /// Time that it worked.
+    /// Total time in which the stub processed requests.
     pub(crate) work: Duration,
 }
 
-/// Reads the counts of stand-ins; one that does not answer is left out.
-pub(crate) fn read_counts(counters: &[SocketAddr]) -> Vec<StandInCounts> {
+/// Reads the counts of the stubs; a stub that does not respond is skipped.
+pub(crate) fn read_counts(counters: &[SocketAddr]) -> Vec<StubCounts> {
     let agent = agent();
-    let read = |address: &SocketAddr| -> Option<StandInCounts> {
+    let read = |address: &SocketAddr| -> Option<StubCounts> {
         let url = format!("http://{address}/fake/runs");
         let text = agent
             .get(&url)
@@ -64,12 +64,12 @@
         let value: Value = serde_json::from_str(&text.ok()?).ok()?;
         let runs = serde_json::from_value(value["runs"].clone()).ok()?;
         let work = Duration::from_millis(value["work_ms"].as_u64().unwrap_or(0));
-        Some(StandInCounts { runs, work })
+        Some(StubCounts { runs, work })
     };
     counters.iter().filter_map(read).collect()
 }
 
-/// Sum of a metric over admin ports, by a prefix of its line.
+/// Sums the metrics whose lines start with `prefix` over the admin ports.
 pub(crate) fn sum_metric(admins: &[SocketAddr], prefix: &str) -> f64 {
     let agent = agent();
     let read = |address: &SocketAddr| -> Option<f64> {
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,9 +1,9 @@
 //! Open-loop load and experiments against a running deployment.
 //!
-//! Arrivals are Poisson with a fixed seed and do not wait for answers; latency
-//! counts from the intended start, so that a stalled system cannot hide its
-//! stalls. A scenario names regions with their entries, request kinds with
-//! their rates over time, and events that set faults in the stand-ins.
+//! Arrivals are Poisson with a fixed seed and do not wait for responses; latency
+//! counts from the intended start, so that it includes the
+//! time in which a stalled system accepts no requests. A scenario names regions with their entries, request kinds with
+//! their rates over time, and events that set faults in the stubs.
 
 mod arrivals;
 mod caller;
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,4 +1,4 @@
-//! The `onyxfall-load` program.
+//! The `onyxfall-load` program: runs load scenarios and compares their results.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/load/src/plot.rs
+++ b/crates/load/src/plot.rs
@@ -1,4 +1,4 @@
-//! Results as a plot.
+//! Renders results as a plot.
 
 use std::error::Error;
 use std::path::Path;
@@ -10,7 +10,7 @@
 const SIZE: (u32, u32) = (900, 500);
 const COLORS: [RGBColor; 6] = [BLUE, RED, GREEN, MAGENTA, CYAN, BLACK];
 
-/// Draws the quantiles to completion of each run's kinds, as SVG.
+/// Plots the latency quantiles to completion, by run and kind, as SVG.
 ///
 /// # Errors
 ///
--- a/crates/load/src/record.rs
+++ b/crates/load/src/record.rs
@@ -1,4 +1,4 @@
-//! What a run measured.
+//! Results of a run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use crate::caller::{CallOutcome, CallResult};
 use crate::scenario::LoadKind;
 
-/// Ten minutes in microseconds.
+/// Largest recorded latency: ten minutes, in microseconds.
 const MAX_MICROS: u64 = 600_000_000;
 
 /// Collects the results of one kind.
@@ -19,61 +19,61 @@
     result: KindResult,
 }
 
-/// What one kind measured; times in milliseconds.
+/// Results of one kind; times are in milliseconds.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct KindResult {
-    /// Requests whose arrival counts.
+    /// Number of requests that arrived after the warm-up.
     pub requests: u64,
-    /// Whole answers.
+    /// Complete responses.
     pub answered: u64,
-    /// Whole answers within the deadline.
+    /// Complete responses within the deadline.
     pub in_time: u64,
-    /// Whole answers from another region.
+    /// Complete responses from another region.
     pub away: u64,
-    /// Told not-run at last.
+    /// Requests whose last attempt was reported as not run.
     pub not_run: u64,
-    /// Told may-have-run.
+    /// Requests reported as possibly run.
     pub may_have_run: u64,
-    /// Broken answers.
+    /// Responses that ended early.
     pub broken: u64,
-    /// No answer at all.
+    /// Requests without a response.
     pub lost: u64,
-    /// Attempts of callers.
+    /// Number of attempts of callers.
     pub attempts: u64,
-    /// Quantiles to the first byte of whole answers: p50, p95, p99.
+    /// Latency quantiles to the first byte of complete responses: p50, p95, p99.
     pub first_byte_ms: [f64; 3],
-    /// Quantiles to completion of whole answers: p50, p95, p99.
+    /// Latency quantiles to completion of complete responses: p50, p95, p99.
     pub whole_ms: [f64; 3],
-    /// How much a completion counts.
+    /// Weight of a completion.
     pub weight: f64,
 }
 
-/// What a run measured.
+/// Results of a run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct LoadResult {
-    /// Scenario.
+    /// Name of the scenario.
     pub scenario: String,
     /// Label of the run, such as the policy.
     pub label: String,
-    /// Seconds that count.
+    /// Length of the load without the warm-up, in seconds.
     pub seconds: f64,
-    /// Per kind.
+    /// Results by kind.
     pub kinds: BTreeMap<String, KindResult>,
-    /// Completions within their deadline, weighted, per second.
+    /// Weighted completions within their deadline, per second.
     pub weighted_per_second: f64,
-    /// Part of the whole answers that came from another region.
+    /// Share of the complete responses that came from another region.
     pub away_share: f64,
-    /// Server seconds worked per weighted completion.
+    /// Seconds of server work per weighted completion.
     pub cost: f64,
-    /// Requests that may not be repeated and ran more than once; must be 0.
+    /// Number of requests that must not be repeated but ran more than once; must be 0.
     pub doubled_runs: u64,
-    /// Runs of requests whose caller was told not-run; must be 0.
+    /// Number of runs of requests that were reported as not run; must be 0.
     pub false_not_run: u64,
-    /// Control bytes a second per daemon, sent and received.
+    /// Control bytes per second and daemon, sent and received.
     pub control_bytes: f64,
-    /// Retries of the entries per first attempt.
+    /// Retries by the entries per first attempt.
     pub retry_share: f64,
-    /// Changes between sending away and not, per minute.
+    /// Switches between forwarding to other regions and not, per minute.
     pub switches_per_minute: f64,
 }
 
@@ -94,7 +94,7 @@
         }
     }
 
-    pub(crate) fn note(&mut self, kind: &LoadKind, call: &CallResult) {
+    pub(crate) fn record(&mut self, kind: &LoadKind, call: &CallResult) {
         let result = &mut self.result;
         result.requests += 1;
         result.attempts += u64::from(call.attempts);
@@ -102,7 +102,7 @@
             CallOutcome::Answered => {
                 result.answered += 1;
                 result.in_time += u64::from(call.whole <= kind.deadline);
-                result.away += u64::from(call.away);
+                result.away += u64::from(call.is_remote);
                 self.first_byte.saturating_record(micros(call.first_byte));
                 self.whole.saturating_record(micros(call.whole));
             }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,10 +1,10 @@
-//! Results as a table.
+//! Renders results as tables.
 
 use std::fmt::Write as _;
 
 use crate::record::LoadResult;
 
-/// Renders runs of one scenario side by side, one block per run.
+/// Renders a table of the runs and a table of their kinds.
 pub fn render_table(results: &[LoadResult]) -> String {
     let mut out = String::new();
     let _ = writeln!(
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -1,4 +1,4 @@
-//! Running a scenario.
+//! Runs a scenario and summarizes its results.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,15 +10,15 @@
 
 use crate::arrivals::{PlannedArrival, plan_arrivals};
 use crate::caller::{CallResult, call};
-use crate::events::{StandInCounts, read_counts, run_events, sum_metric};
+use crate::events::{StubCounts, read_counts, run_events, sum_metric};
 use crate::record::{KindRecord, LoadResult};
 use crate::scenario::LoadScenario;
 
 const CALLER_STACK: usize = 256 * 1024;
-/// Callers at once; beyond it arrivals are counted as lost, not delayed.
+/// Largest number of concurrent callers; arrivals beyond it are dropped, not delayed.
 const MAX_CALLERS: usize = 6000;
 
-/// Counters of the entries before or after a run.
+/// Sums of the entries' counters before or after a run.
 struct EntryCounters {
     control: f64,
     first: f64,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Runs a scenario and returns what it measured; `label` names the run.
+/// Runs a scenario and returns its results; `label` names the run.
 pub fn run_scenario(scenario: &LoadScenario, label: &str) -> LoadResult {
     let arrivals = plan_arrivals(scenario);
     let admins: Vec<SocketAddr> = scenario
@@ -95,7 +95,7 @@
             thread::sleep(arrival.at.saturating_sub(started.elapsed()));
             if open.fetch_add(1, Ordering::SeqCst) >= MAX_CALLERS {
                 open.fetch_sub(1, Ordering::SeqCst);
-                eprintln!("a caller is missing: {MAX_CALLERS} are open");
+                eprintln!("arrival dropped: {MAX_CALLERS} callers are active");
                 continue;
             }
             let (sender, open) = (sender.clone(), &open);
@@ -109,7 +109,7 @@
             };
             let builder = thread::Builder::new().stack_size(CALLER_STACK);
             if let Err(e) = builder.spawn_scoped(scope, caller) {
-                eprintln!("no thread for a caller: {e}");
+                eprintln!("cannot start a caller thread: {e}");
             }
         }
     });
@@ -120,7 +120,7 @@
 fn summarize(scenario: &LoadScenario, calls: &[SentCall]) -> LoadResult {
     let mut records: Vec<KindRecord> = scenario.kinds.iter().map(KindRecord::new).collect();
     for (arrival, call) in calls.iter().filter(|(a, _)| a.at >= scenario.warmup) {
-        records[arrival.kind].note(&scenario.kinds[arrival.kind], call);
+        records[arrival.kind].record(&scenario.kinds[arrival.kind], call);
     }
     let seconds = scenario
         .duration
@@ -145,12 +145,12 @@
     result
 }
 
-fn total_work(counts: &[StandInCounts]) -> f64 {
+fn total_work(counts: &[StubCounts]) -> f64 {
     counts.iter().map(|count| count.work.as_secs_f64()).sum()
 }
 
-/// Requests of kinds that may not be repeated which ran more than once.
-fn doubled_runs(scenario: &LoadScenario, counts: &[StandInCounts], calls: &[SentCall]) -> u64 {
+/// Number of requests that must not be repeated but ran more than once.
+fn doubled_runs(scenario: &LoadScenario, counts: &[StubCounts], calls: &[SentCall]) -> u64 {
     let runs = |id: &String| -> u64 { counts.iter().filter_map(|count| count.runs.get(id)).sum() };
     let guarded = calls
         .iter()
@@ -161,8 +161,8 @@
         .count() as u64
 }
 
-/// Runs of requests whose caller was told not-run.
-fn false_not_run(counts: &[StandInCounts], calls: &[SentCall]) -> u64 {
+/// Number of runs of requests that were reported as not run.
+fn false_not_run(counts: &[StubCounts], calls: &[SentCall]) -> u64 {
     let told: BTreeSet<&String> = calls
         .iter()
         .flat_map(|(_, call)| &call.not_run_ids)
--- a/crates/load/src/scenario.rs
+++ b/crates/load/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios, read from INI.
+//! Load scenarios, parsed from INI.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -8,24 +8,24 @@
 use onyxfall_settings::{FaultList, IniDocument, SettingsError};
 use onyxfall_types::{KindName, RegionName, RequestRate};
 
-/// Rate over time as a step function: from each moment on, a factor.
+/// Rate over time, as a step function of factors.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RushShape {
-    /// Steps by time.
+    /// Steps in order of time.
     pub steps: Vec<RateStep>,
 }
 
-/// From a moment on, a factor.
+/// A factor that applies from a moment on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateStep {
-    /// Moment since the start.
+    /// Start of the step, from the start of the load.
     pub at: Duration,
-    /// Factor on the kind's rate.
+    /// Factor by which the kind's rate is multiplied.
     pub factor: f64,
 }
 
 impl RushShape {
-    /// The factor at a moment.
+    /// The factor at the time `at`.
     ///
     /// ```
     /// use onyxfall_load::RushShape;
@@ -72,32 +72,32 @@
     }
 }
 
-/// A region with the entries that its callers use.
+/// A region and the entries that its callers use.
 #[derive(Clone, Debug)]
 pub struct LoadRegion {
-    /// Its name.
+    /// Name of the region.
     pub name: RegionName,
-    /// Its entries.
+    /// Addresses of the entries.
     pub entries: Vec<SocketAddr>,
-    /// Admin ports of its entries, for control bytes.
+    /// Admin addresses of the entries, for their metrics.
     pub admins: Vec<SocketAddr>,
-    /// Rate of its callers over time.
+    /// Factor of the callers' rate over time.
     pub rush: RushShape,
 }
 
-/// What a caller does when its request is refused.
+/// How a caller retries a rejected or lost request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerRetry {
-    /// Gives up.
+    /// Does not retry.
     Never,
-    /// Tries again after the advised pause, so many times.
+    /// Retries up to this many times, after the delay in `retry-after`.
     AfterPause(u32),
-    /// Tries again at once, so many times.
+    /// Retries up to this many times, without a delay.
     AtOnce(u32),
 }
 
 impl CallerRetry {
-    /// Most tries after the first.
+    /// Largest number of retries.
     pub fn limit(self) -> u32 {
         match self {
             Self::Never => 0,
@@ -111,25 +111,25 @@
 pub struct LoadKind {
     /// Its name.
     pub name: KindName,
-    /// Path to post to.
+    /// Path of the requests.
     pub path: String,
     /// Rate in each region at factor 1.
     pub rate: RequestRate,
-    /// How much a completion counts.
+    /// Weight of a completion.
     pub weight: f64,
-    /// Tokens of an answer.
+    /// Number of tokens in a response.
     pub tokens: u64,
-    /// Distinct prompt prefixes.
+    /// Number of distinct prompt prefixes.
     pub prefixes: u64,
-    /// Whether it may run more than once, for the count of doubled runs.
+    /// Whether a request may run more than once; such requests are not counted as doubled.
     pub repeatable: bool,
-    /// Whether to ask for a stream.
+    /// Whether requests ask for a stream.
     pub stream: bool,
-    /// Whether to name the caller's region as home.
+    /// Whether requests name the caller's region as home.
     pub home: bool,
-    /// Time within which a completion counts.
+    /// Deadline of a request; later completions are not counted.
     pub deadline: Duration,
-    /// What callers do when refused.
+    /// How callers retry.
     pub retry: CallerRetry,
 }
 
@@ -138,49 +138,49 @@
 pub struct LoadEvent {
     /// Name for the report.
     pub name: String,
-    /// When.
+    /// Time of the event, from the start of the load.
     pub at: Duration,
-    /// Address to post to.
+    /// URL to post to.
     pub url: String,
-    /// What to post.
+    /// Body to post.
     pub body: String,
 }
 
-/// A scenario.
+/// A load scenario.
 #[derive(Clone, Debug)]
 pub struct LoadScenario {
     /// Name for the report.
     pub name: String,
-    /// Length of the load.
+    /// Duration of the load.
     pub duration: Duration,
-    /// Part at the start that is not counted.
+    /// Duration of the warm-up at the start, which is not measured.
     pub warmup: Duration,
-    /// Seed of arrivals.
+    /// Seed of the arrivals.
     pub seed: u64,
     /// Regions.
     pub regions: Vec<LoadRegion>,
     /// Kinds.
     pub kinds: Vec<LoadKind>,
-    /// Events by time.
+    /// Events in order of time.
     pub events: Vec<LoadEvent>,
-    /// Stand-ins to ask for their counts at the end.
+    /// Addresses of the stubs whose counts are read.
     pub counters: Vec<SocketAddr>,
 }
 
-/// Reads a scenario from a file.
+/// Loads a scenario from a file.
 ///
 /// # Errors
 ///
-/// The file cannot be read or has faults; all are named.
+/// The file cannot be read or has faults; the error lists all of them.
 pub fn load_scenario(path: &Path) -> Result<LoadScenario, SettingsError> {
     read_scenario(&IniDocument::load(path)?)
 }
 
-/// Reads a scenario from a text; `file` names it in faults.
+/// Parses a scenario; `file` is the name used in faults.
 ///
 /// # Errors
 ///
-/// The text has faults; all are named.
+/// The text has faults; the error lists all of them.
 pub fn parse_scenario(file: &str, text: &str) -> Result<LoadScenario, SettingsError> {
     read_scenario(&IniDocument::parse(file, text)?)
 }
--- a/crates/slopes/src/bench.rs
+++ b/crates/slopes/src/bench.rs
@@ -1,4 +1,4 @@
-//! Many entries in one process.
+//! A deployment of many entries in one process.
 
 use std::fmt::Write as _;
 use std::io::{Read, Write as _};
@@ -17,7 +17,7 @@
 const PATIENCE: Duration = Duration::from_mins(1);
 const OPERATORS: [&str; 2] = ["ann", "ben"];
 
-/// Shape of a deployment.
+/// Numbers of data centres, members, servers and models of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BenchShape {
     pub(crate) centers: usize,
@@ -45,7 +45,7 @@
     TcpListener::bind("127.0.0.1:0").map_err(|e| e.to_string())
 }
 
-/// Answers load reports, one short connection at a time.
+/// Starts a server that responds with load reports, one short connection at a time.
 fn start_responder() -> Result<SocketAddr, String> {
     let listener = listen()?;
     let address = listener.local_addr().map_err(|e| e.to_string())?;
@@ -93,15 +93,15 @@
             }
             bench.entries.push(entry);
         }
-        bench.tell_platform()?;
+        bench.publish_vms()?;
         let content = bench.sign(1)?;
         bench.roll(content)?;
         bench.wait_in_force(content)?;
         Ok(bench)
     }
 
-    /// Members know the first entry of each data centre before their own; the
-    /// rest is learned from the platform's list.
+    /// Settings of an entry. They name the first entry of each data centre before its own;
+    /// the entry reads the others from the platform's list.
     fn entry_settings(&self, index: usize, first_peers: &[SocketAddr]) -> String {
         let center = index / self.shape.members;
         let mut text = format!(
@@ -125,7 +125,7 @@
         text
     }
 
-    fn tell_platform(&self) -> Result<(), String> {
+    fn publish_vms(&self) -> Result<(), String> {
         let mut vms = Vec::new();
         for (index, entry) in self.entries.iter().enumerate() {
             let center = index / self.shape.members;
@@ -188,7 +188,7 @@
         Ok(OperatorContext::new(store, "slopes", ring, name, secret))
     }
 
-    /// Proposes and signs an edition of the bundle.
+    /// Proposes an edition of the bundle and signs it.
     pub(crate) fn sign(&self, edition: u32) -> Result<ContentDigest, String> {
         let text = self.bundle_text(edition);
         let digest = self
@@ -203,7 +203,7 @@
         Ok(digest)
     }
 
-    /// Rolls a content to every region.
+    /// Rolls out a content to every region.
     pub(crate) fn roll(&self, content: ContentDigest) -> Result<(), String> {
         let regions: Vec<RegionName> = (0..self.shape.centers)
             .filter_map(|c| format!("r{c}").parse().ok())
@@ -219,7 +219,7 @@
             .map_err(|e| e.to_string())
     }
 
-    /// Waits until a content is in force in every entry; the time that took.
+    /// Waits until a content is in force in every entry; returns the time until then.
     pub(crate) fn wait_in_force(&self, content: ContentDigest) -> Result<Duration, String> {
         let started = Instant::now();
         let head = self.operator(0)?.head().map_err(|e| e.to_string())?;
@@ -241,7 +241,7 @@
         Ok(started.elapsed())
     }
 
-    /// Sum of a metric over all entries, by a prefix of its line.
+    /// Sums the metrics whose lines start with `prefix` over all entries.
     pub(crate) fn metric(&self, prefix: &str) -> f64 {
         let read = |entry: &EntryProcess| -> Option<f64> {
             let text = get(entry.admin_address(), "/metrics")?;
@@ -255,7 +255,7 @@
         self.entries.iter().filter_map(read).sum()
     }
 
-    /// Ends every entry at once.
+    /// Stops all entries concurrently.
     pub(crate) fn end(self) {
         for entry in self.entries {
             entry.kill();
--- a/crates/slopes/src/fit.rs
+++ b/crates/slopes/src/fit.rs
@@ -1,4 +1,4 @@
-//! Least squares, and a row of the table.
+//! Least-squares fit of a line, and rows of the table of results.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
     pub(crate) y: f64,
 }
 
-/// A line through points.
+/// A line fitted to points.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LineFit {
     pub(crate) slope: f64,
@@ -17,7 +17,7 @@
     pub(crate) r2: f64,
 }
 
-/// The least-squares line.
+/// Fits a line to the points by least squares.
 pub(crate) fn fit_line(points: &[SeriesPoint]) -> LineFit {
     let n = points.len() as f64;
     let mean = |f: fn(&SeriesPoint) -> f64| points.iter().map(f).sum::<f64>() / n;
@@ -38,7 +38,7 @@
     }
 }
 
-/// One series as measured.
+/// The measured points of one series.
 pub(crate) struct SeriesRow {
     pub(crate) name: String,
     pub(crate) unit: &'static str,
--- a/crates/slopes/src/main.rs
+++ b/crates/slopes/src/main.rs
@@ -1,9 +1,9 @@
 //! The `onyxfall-slopes` program: measures how control traffic, memory, time to
 //! force and platform calls grow, for docs/CAPACITY.md.
 //!
-//! Everything runs in this process: real entries over loopback, one platform
-//! stand-in, and a responder for each backend server's load report. Figures are
-//! per daemon and second unless said otherwise; a row gives the measured points
+//! Everything runs in this process: real entries over loopback, one stub of
+//! the platform, and a responder for each backend server's load report. Figures are
+//! per daemon and second unless stated otherwise; a row has the measured points
 //! and the least-squares line through them.
 
 mod bench;
@@ -16,7 +16,7 @@
 
 use argh::FromArgs;
 
-/// Measure slopes of control traffic, memory and time to force.
+/// Measure the slopes of control traffic, memory and time to force.
 #[derive(FromArgs)]
 struct SlopesArguments {
     /// seconds to watch each point
--- a/crates/slopes/src/memory.rs
+++ b/crates/slopes/src/memory.rs
@@ -1,11 +1,11 @@
-//! Memory and processor time of this process, from the kernel's accounts.
+//! Memory and processor time of this process, from the kernel's accounting.
 
-/// Clock ticks a second in the kernel's accounts on Linux.
+/// Clock ticks per second in the kernel's accounting on Linux.
 const TICKS: f64 = 100.0;
-/// Bytes of a page.
+/// Size of a page in bytes.
 const PAGE: f64 = 4096.0;
 
-/// Resident bytes.
+/// Resident memory in bytes.
 pub(crate) fn resident_bytes() -> f64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text
@@ -15,7 +15,7 @@
     pages.unwrap_or(0.0) * PAGE
 }
 
-/// Seconds of processor time used so far.
+/// Processor time used so far, in seconds.
 pub(crate) fn processor_seconds() -> f64 {
     let text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let after = text.rsplit(')').next().unwrap_or("");
--- a/crates/slopes/src/series.rs
+++ b/crates/slopes/src/series.rs
@@ -1,4 +1,4 @@
-//! The series that are measured.
+//! The measured series.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -18,7 +18,7 @@
 
 type MeasureFn = Box<dyn Fn() -> Result<Vec<SeriesRow>, String>>;
 
-/// A named measurement that gives rows.
+/// A named measurement that produces rows.
 pub(crate) struct SlopeSeries {
     pub(crate) name: &'static str,
     run: MeasureFn,
@@ -103,7 +103,7 @@
     ]
 }
 
-/// Control bytes, processor time, memory and platform calls per daemon.
+/// Measures control bytes, processor time, memory and platform calls per daemon.
 fn control_rows(
     name: &str,
     shapes: &[(f64, BenchShape)],
@@ -156,10 +156,11 @@
     calls.values().sum::<u64>() as f64
 }
 
-/// Changes measured at each point.
+/// Number of changes measured at each point.
 const CHANGES: u32 = 5;
 
-/// Bytes of configuration per daemon and change, against servers in the bundle.
+/// Measures bytes of configuration per daemon and change, by number of servers in the
+/// bundle.
 fn change_rows() -> Result<Vec<SeriesRow>, String> {
     let mut points = Vec::new();
     for servers in [4, 32, 128] {
@@ -192,7 +193,7 @@
     }])
 }
 
-/// From the last step of a roll until it is in force everywhere.
+/// Measures the time from the last step of a rollout until it is in force everywhere.
 fn force_rows(daemons: usize) -> Result<Vec<SeriesRow>, String> {
     let mut points = Vec::new();
     for count in [16, 64, daemons] {
@@ -237,7 +238,7 @@
     text
 }
 
-/// Bytes of a bundle's text, and resident bytes of a router, per server.
+/// Measures bytes of a bundle's text, and resident memory of a router, per server.
 fn memory_rows() -> Result<Vec<SeriesRow>, String> {
     let mut text_points = Vec::new();
     let mut server_points = Vec::new();
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,5 +1,5 @@
-//! Callers that use the gateways throughout a run, on connections that they keep
-//! until these break, and what they saw.
+//! Callers that send requests to the gateways throughout a run, on connections kept alive
+//! until they break, and report what they received.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -15,37 +15,37 @@
 use rand::{Rng, SeedableRng};
 use ureq::Agent;
 
-use crate::world::{HOST, KEY, RequestKind};
+use crate::deployment::{HOST, KEY, RequestKind};
 
-/// Longest time that a caller waits for an answer.
+/// Timeout of a caller for a response.
 const PATIENCE: Duration = Duration::from_secs(4);
-/// Pause between two requests of a caller.
+/// Interval between two requests of a caller.
 const PAUSE: Duration = Duration::from_millis(8);
-/// Largest answer that is read.
+/// Largest response body that is read, in bytes.
 const ANSWER_BYTES: u64 = 64 * 1024;
 
-/// What a caller saw of one request.
+/// What a caller observed of one request.
 #[derive(Clone, Debug)]
 pub(crate) struct CallReport {
-    /// Its id, which no other request has.
+    /// Unique id of the request.
     pub(crate) id: String,
-    /// Its kind.
+    /// Kind of the request.
     pub(crate) kind: RequestKind,
-    /// When it was sent.
+    /// When the request was sent.
     pub(crate) sent: Instant,
-    /// When the head of its answer had come.
+    /// When the head of the response had been received.
     pub(crate) answered: Option<Instant>,
-    /// Status; none if no answer began.
+    /// Status of the response; `None` if no response began.
     pub(crate) status: Option<u16>,
-    /// Whether the answer names this request and a server has signed it.
+    /// Whether the response carries the id of this request and the signature of a server.
     pub(crate) is_own: bool,
-    /// What came of the body.
+    /// The part of the body that was received.
     pub(crate) body: String,
-    /// Whether the body ended as it should.
+    /// Whether the body was received to its regular end.
     pub(crate) is_whole: bool,
 }
 
-/// A client that keeps its connections.
+/// A client that keeps its connections alive.
 pub(crate) fn new_agent() -> Agent {
     Agent::config_builder()
         .http_status_as_error(false)
@@ -54,7 +54,7 @@
         .into()
 }
 
-/// Sends one request and reads its answer.
+/// Sends one request and reads its response.
 pub(crate) fn call(
     agent: &Agent,
     to: SocketAddr,
@@ -99,14 +99,14 @@
     report
 }
 
-/// Callers that are under way.
-pub(crate) struct CallerCrowd {
+/// A group of running callers.
+pub(crate) struct CallerGroup {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
     reports: Receiver<CallReport>,
 }
 
-impl CallerCrowd {
+impl CallerGroup {
     /// Starts `count` callers of the gateways at `targets`.
     pub(crate) fn start(seed: u64, count: usize, targets: &[SocketAddr]) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
@@ -125,16 +125,16 @@
         }
     }
 
-    /// What was seen since the last call.
-    pub(crate) fn take_reports(&self) -> Vec<CallReport> {
+    /// Reports since the last call.
+    pub(crate) fn drain_reports(&self) -> Vec<CallReport> {
         self.reports.try_iter().collect()
     }
 
-    /// Ends the callers; returns what they still saw.
+    /// Stops the callers; returns their last reports.
     pub(crate) fn finish(self) -> Vec<CallReport> {
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads {
-            // A caller that panicked has told nothing more.
+            // A caller that panicked sends no more reports.
             let _ = thread.join();
         }
         self.reports.try_iter().collect()
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! The promises, checked against what callers and servers saw.
+//! Checks the promises against what callers and servers observed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -7,11 +7,11 @@
 use onyxfall_fakes::ServerStub;
 
 use crate::callers::CallReport;
-use crate::world::{RequestKind, TEAM};
+use crate::deployment::{RequestKind, TEAM};
 
-/// Statuses that promise that a request has not run and never will.
+/// Statuses that guarantee that a request has not run and never will.
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
-/// Body of a plain answer of the stand-in.
+/// Body of a plain response of the stub.
 const PLAIN_ANSWER: &str = "answer";
 
 /// A promise that was broken.
@@ -19,29 +19,29 @@
 pub(crate) enum BrokenPromise {
     /// A request that may run at most once ran more often.
     Doubled(String, usize),
-    /// A caller was told that its request had not run, but it had.
+    /// A caller received a status that guarantees that its request had not run, but it had.
     FalseNotRun(String, u16),
-    /// A caller got an answer that is not its own, or not a server's.
+    /// A caller received the response to another request, or one that no server sent.
     WrongAnswer(String, String),
-    /// A stream ended as if it were whole, or has a gap.
+    /// A stream has a gap, or ended regularly before its last event.
     BrokenStream(String, String),
-    /// A VM went back to an older configuration.
+    /// A VM reverted to an older configuration.
     Reverted(String),
-    /// A gateway ended by itself.
+    /// A gateway process ended without being told to.
     Exited(String),
-    /// Something did not come back after the faults.
+    /// Something did not recover after the faults.
     NotRecovered(String),
-    /// A server that had left got work.
+    /// A drained server received requests.
     SentAfterDrain(String),
-    /// A server that had said that it leaves got work.
-    SentWhileLeaving(String),
-    /// A server that had asked for rest got work before its end.
-    SentInRest(String),
-    /// A server got more than the rate that it had named.
+    /// A server received requests after it had signalled that it is draining.
+    SentWhileDraining(String),
+    /// A server received requests during the backoff that it had asked for.
+    SentDuringBackoff(String),
+    /// A server received more requests than the limit that it had signalled.
     SentBeyondLimit(String),
-    /// A server was told another team than the one that holds the caller's key.
+    /// A server received another team than the one that holds the caller's key.
     WrongTeam(String, Option<String>),
-    /// A server got a caller's key.
+    /// A server received a caller's key.
     KeyPassedOn(String),
 }
 
@@ -51,41 +51,41 @@
     }
 }
 
-/// The checks of one run, fed while it goes on.
+/// The checks of one run, fed while the run goes on.
 #[derive(Default)]
 pub(crate) struct PromiseChecks {
     runs: BTreeMap<String, usize>,
     kinds: BTreeMap<String, RequestKind>,
-    told_not_run: BTreeMap<String, u16>,
+    reported_not_run: BTreeMap<String, u16>,
     broken: BTreeSet<BrokenPromise>,
-    /// Requests by status; 0 stands for no answer.
+    /// Requests by status; 0 stands for no response.
     pub(crate) statuses: BTreeMap<u16, usize>,
 }
 
 impl PromiseChecks {
-    /// Notes that a promise is broken.
-    pub(crate) fn note(&mut self, broken: BrokenPromise) {
+    /// Records that a promise is broken.
+    pub(crate) fn record(&mut self, broken: BrokenPromise) {
         self.broken.insert(broken);
     }
 
-    /// Notes that a server ran a request.
-    pub(crate) fn take_run(&mut self, run: &ReceivedCall) {
+    /// Records that a server ran a request.
+    pub(crate) fn record_run(&mut self, run: &ReceivedCall) {
         let id = &run.request_id;
         *self.runs.entry(id.clone()).or_default() += 1;
         if run.team.as_deref() != Some(TEAM) {
-            self.note(BrokenPromise::WrongTeam(id.clone(), run.team.clone()));
+            self.record(BrokenPromise::WrongTeam(id.clone(), run.team.clone()));
         }
         if run.has_key {
-            self.note(BrokenPromise::KeyPassedOn(id.clone()));
+            self.record(BrokenPromise::KeyPassedOn(id.clone()));
         }
     }
 
-    /// Takes what a caller saw.
-    pub(crate) fn take_report(&mut self, report: CallReport) {
+    /// Records the report of a caller.
+    pub(crate) fn record_report(&mut self, report: CallReport) {
         let status = report.status.unwrap_or(0);
         *self.statuses.entry(status).or_default() += 1;
         if NOT_RUN_STATUSES.contains(&status) {
-            self.told_not_run.insert(report.id.clone(), status);
+            self.reported_not_run.insert(report.id.clone(), status);
         }
         if (200..300).contains(&status) {
             self.check_answer(&report);
@@ -97,7 +97,7 @@
         let id = report.id.clone();
         if !report.is_own {
             let broken = BrokenPromise::WrongAnswer(id, "not its own".to_owned());
-            self.note(broken);
+            self.record(broken);
             return;
         }
         let whole = if report.kind.is_stream() {
@@ -112,7 +112,7 @@
         };
         if !is_right {
             let broken = BrokenPromise::BrokenStream(id, report.body.clone());
-            self.note(broken);
+            self.record(broken);
         }
     }
 
@@ -124,7 +124,7 @@
             if runs_once && *runs > 1 {
                 broken.insert(BrokenPromise::Doubled(id.clone(), *runs));
             }
-            if let Some(status) = self.told_not_run.get(id)
+            if let Some(status) = self.reported_not_run.get(id)
                 && runs_once
             {
                 broken.insert(BrokenPromise::FalseNotRun(id.clone(), *status));
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/deployment.rs
@@ -1,5 +1,5 @@
-//! The deployment under test: real gateways as processes, stand-ins around them,
-//! and a harmed link before each of them.
+//! The deployment under test: real gateways as processes, stubs of the store and the
+//! backend servers, and a link that can be made faulty in front of each of them.
 
 use std::fmt::Write as _;
 use std::fs::{self, File};
@@ -18,21 +18,21 @@
 use parking_lot::Mutex;
 use rustix::process::{Pid, Signal, kill_process};
 
-use crate::link::HarmedLink;
+use crate::link::FaultyLink;
 use crate::plan::RunSize;
 
-/// Host that callers name.
+/// Host header of the callers' requests.
 pub(crate) const HOST: &str = "a.example";
-/// The team whose requests they are, and its key.
+/// The callers' team, and its key.
 pub(crate) const TEAM: &str = "soak";
 pub(crate) const KEY: &str = "jbvk9m68k7b2ex5wa5xw";
 const SERVICE: &str = "svc";
-/// Regions, each with gateways and servers in turn.
+/// Number of regions; gateways and servers are assigned to them in turn.
 const REGIONS: usize = 3;
-/// Time between the order to stop and the end of a gateway's life, in seconds.
-const GRACE_S: u64 = 3;
+/// Time in which a gateway must end after it was told to shut down, in seconds.
+const STOP_GRACE_S: u64 = 3;
 
-/// Kinds of requests, with the start of their paths.
+/// Kinds of requests; each has a path prefix of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestKind {
     /// Runs at most once.
@@ -54,7 +54,7 @@
         Self::ResumableStream,
     ];
 
-    /// Start of its paths.
+    /// Prefix of the paths of this kind.
     pub(crate) const fn prefix(self) -> &'static str {
         match self {
             Self::Once => "/once/",
@@ -69,7 +69,7 @@
         matches!(self, Self::Once | Self::Stream)
     }
 
-    /// Whether an answer is a series of events.
+    /// Whether the response is a stream of events.
     pub(crate) const fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
@@ -84,13 +84,13 @@
     }
 }
 
-/// Changes that a restored store has lost at least, so that later ones have revisions that
-/// were given out before.
+/// Least number of changes that a restored store has lost, so that later changes reuse
+/// revisions.
 const CHANGES_LOST: usize = 64;
-/// A key that means nothing to anybody.
+/// A key that no program reads.
 const UNUSED_KEY: &str = "soak/unused";
 
-/// Path that only version `version` of the configuration has a route for.
+/// Path for which only version `version` of the configuration has a route.
 pub(crate) fn version_path(version: u64) -> String {
     format!("/at/{version}/")
 }
@@ -98,39 +98,39 @@
 /// One entry VM.
 pub(crate) struct SoakVm {
     settings: PathBuf,
-    /// What the settings say, but for the clock.
+    /// Text of the settings file without the clock section.
     text: String,
-    /// Seconds that its clock is ahead of the machine's.
+    /// Seconds by which the VM's clock is ahead of the machine's.
     ahead_s: u64,
     log: PathBuf,
-    /// Its process, unless it is down.
+    /// Process of the gateway; `None` while it is down.
     child: Option<Child>,
-    /// Lives so far.
-    pub(crate) life: u64,
-    /// Whether its process was told to end.
+    /// Number of times that the gateway was started.
+    pub(crate) incarnation: u64,
+    /// Whether the process was told to end.
     is_ending: bool,
-    /// Link between callers and it.
-    pub(crate) caller_link: HarmedLink,
-    /// Link between it and the store.
-    pub(crate) store_link: HarmedLink,
+    /// Link between callers and the gateway.
+    pub(crate) caller_link: FaultyLink,
+    /// Link between the gateway and the store.
+    pub(crate) store_link: FaultyLink,
 }
 
 /// One backend server.
 pub(crate) struct SoakServer {
-    /// Names so far; the present one holds it.
-    life: u64,
-    /// Unix milliseconds of its present life's start.
-    born: u64,
-    /// What its present life says of itself.
-    word: StubSignals,
-    /// The stand-ins of all its lives, the present one last.
-    pub(crate) lives: Vec<ServerStub>,
-    /// Link between gateways and it.
-    pub(crate) link: HarmedLink,
+    /// Number of names that the server has had; part of the present name.
+    generation: u64,
+    /// Start time of the present instance, in Unix milliseconds.
+    started_ms: u64,
+    /// Signals in the responses of the present instance.
+    signals: StubSignals,
+    /// Stubs of all instances, the present one last.
+    pub(crate) instances: Vec<ServerStub>,
+    /// Link between gateways and the server.
+    pub(crate) link: FaultyLink,
 }
 
-/// The deployment.
-pub(crate) struct SoakWorld {
+/// A running deployment.
+pub(crate) struct SoakDeployment {
     program: PathBuf,
     dir: PathBuf,
     pub(crate) store: StoreStub,
@@ -139,18 +139,18 @@
     pub(crate) version: Mutex<u64>,
 }
 
-impl SoakWorld {
-    /// Starts stand-ins and gateways; `seed` keeps the addresses of runs apart.
+impl SoakDeployment {
+    /// Starts stubs and gateways; `seed` is part of the name of the directory.
     pub(crate) fn start(program: &Path, seed: u64, size: &RunSize) -> io::Result<Self> {
         let dir = std::env::temp_dir().join(format!("onyxfall-soak-{}-{seed}", std::process::id()));
         fs::create_dir_all(&dir)?;
-        let store = StoreStub::start(stand_in_ip())?;
+        let store = StoreStub::start(stub_ip())?;
         let ips: Vec<Ipv4Addr> = (0..size.vms).map(vm_ip).collect();
         let ports = free_ports(&ips)?;
         let vms = (0..size.vms)
             .map(|vm| {
                 let callers = SocketAddr::from((ips[vm], ports[0]));
-                let store_link = HarmedLink::start(stand_in_ip(), store.address())?;
+                let store_link = FaultyLink::start(stub_ip(), store.address())?;
                 let settings = dir.join(format!("vm{vm}.ini"));
                 let text = settings_text(vm, &ips, &ports, store_link.address());
                 fs::write(&settings, &text)?;
@@ -160,29 +160,29 @@
                     ahead_s: 0,
                     log: dir.join(format!("vm{vm}.log")),
                     child: None,
-                    life: 0,
+                    incarnation: 0,
                     is_ending: false,
-                    caller_link: HarmedLink::start(stand_in_ip(), callers)?,
+                    caller_link: FaultyLink::start(stub_ip(), callers)?,
                     store_link,
                 }))
             })
             .collect::<io::Result<_>>()?;
         let servers = (0..size.servers)
             .map(|server| {
-                let stub = ServerStub::start(stand_in_ip())?;
+                let stub = ServerStub::start(stub_ip())?;
                 stub.set_name(&server_name(server, 1));
-                let link = HarmedLink::start(stand_in_ip(), stub.address())?;
-                let lives = vec![stub];
+                let link = FaultyLink::start(stub_ip(), stub.address())?;
+                let instances = vec![stub];
                 Ok(Mutex::new(SoakServer {
-                    life: 1,
-                    born: unix_millis(),
-                    word: StubSignals::default(),
-                    lives,
+                    generation: 1,
+                    started_ms: unix_millis(),
+                    signals: StubSignals::default(),
+                    instances,
                     link,
                 }))
             })
             .collect::<io::Result<_>>()?;
-        let world = Self {
+        let deployment = Self {
             program: program.to_owned(),
             dir,
             store,
@@ -191,21 +191,21 @@
             version: Mutex::new(0),
         };
         for server in 0..size.servers {
-            world.announce(server, ServerPhase::Ready);
+            deployment.put_entry(server, ServerPhase::Ready);
         }
-        world.configure();
+        deployment.configure();
         for vm in 0..size.vms {
-            world.start_vm(vm)?;
+            deployment.start_vm(vm)?;
         }
-        Ok(world)
+        Ok(deployment)
     }
 
-    /// Address that a VM's connections come from, which servers see.
+    /// Source address of a VM's connections, by which servers identify it.
     pub(crate) fn source_address(vm: usize) -> IpAddr {
         IpAddr::V4(source_ip(vm))
     }
 
-    /// Where the logs of the gateways are.
+    /// Directory of the gateways' settings and logs.
     pub(crate) fn dir(&self) -> &Path {
         &self.dir
     }
@@ -217,7 +217,7 @@
         self.write_configuration(*version);
     }
 
-    /// Makes a copy of the store that will lack many changes.
+    /// Saves a snapshot of the store, then makes changes that a restore loses.
     pub(crate) fn save_snapshot(&self) {
         self.store.save_snapshot();
         for _ in 0..CHANGES_LOST {
@@ -225,17 +225,17 @@
         }
     }
 
-    /// Lets the operator and the servers write again what a restored store may have lost,
-    /// and the entries of servers that have ended lapse.
-    pub(crate) fn write_again(&self) {
+    /// Rewrites the configuration and the servers' entries, which a restored store may have
+    /// lost, and deletes the entries of ended servers.
+    pub(crate) fn rewrite_lost(&self) {
         let version = *self.version.lock();
         self.write_configuration(version);
         for server in 0..self.servers.len() {
-            let life = self.servers[server].lock().life;
-            for ended in 1..life {
+            let generation = self.servers[server].lock().generation;
+            for ended in 1..generation {
                 self.store.delete(&server_key(&server_name(server, ended)));
             }
-            self.announce(server, ServerPhase::Ready);
+            self.put_entry(server, ServerPhase::Ready);
         }
     }
 
@@ -269,19 +269,19 @@
         self.store.put(config_key(), body);
     }
 
-    fn announce(&self, server: usize, phase: ServerPhase) {
+    fn put_entry(&self, server: usize, phase: ServerPhase) {
         let record = self.record(server, phase);
         let key = server_key(record.name.as_str());
         self.store.put(&key, server_body(&record));
     }
 
-    /// What a server writes of itself.
+    /// The record of a server's present instance.
     fn record(&self, server: usize, phase: ServerPhase) -> ServerRecord {
         let state = self.servers[server].lock();
-        let name = server_name(server, state.life);
+        let name = server_name(server, state.generation);
         ServerRecord {
             name: name.parse().expect("a name of letters and digits"),
-            born: StartTime::from_millis(state.born),
+            born: StartTime::from_millis(state.started_ms),
             service: SERVICE.parse().expect("a name of letters"),
             version: None,
             address: state.link.address(),
@@ -294,95 +294,97 @@
         }
     }
 
-    /// Lets a server leave, and a new life take its address.
+    /// Drains a server and replaces it by a new instance at its address.
     pub(crate) fn replace(&self, server: usize) -> io::Result<()> {
         self.drain(server);
-        self.succeed(server)
+        self.replace_instance(server)
     }
 
-    /// Ends a server's life and lets a new one, under a new name, take its address. An
-    /// address is given on only after its server has ended, so that no connection is left
-    /// on which the former life could answer requests that are meant for the new one.
-    pub(crate) fn succeed(&self, server: usize) -> io::Result<()> {
-        let stub = ServerStub::start(stand_in_ip())?;
-        let old = server_name(server, self.servers[server].lock().life);
+    /// Ends an instance of a server; a new one, under a new name, takes its address. An
+    /// address is reused only after its server has ended, so that the former instance has
+    /// no connection left on which it could answer requests to the new one.
+    pub(crate) fn replace_instance(&self, server: usize) -> io::Result<()> {
+        let stub = ServerStub::start(stub_ip())?;
+        let old = server_name(server, self.servers[server].lock().generation);
         self.store.delete(&server_key(&old));
         {
             let mut state = self.servers[server].lock();
-            stub.set_name(&server_name(server, state.life + 1));
-            if let Some(before) = state.lives.last() {
+            stub.set_name(&server_name(server, state.generation + 1));
+            if let Some(before) = state.instances.last() {
                 before.crash();
             }
             state.link.set_target(stub.address());
-            state.lives.push(stub);
-            state.life += 1;
-            state.word = StubSignals::default();
-            state.born = unix_millis().max(state.born + 1);
+            state.instances.push(stub);
+            state.generation += 1;
+            state.signals = StubSignals::default();
+            state.started_ms = unix_millis().max(state.started_ms + 1);
         }
-        self.announce(server, ServerPhase::Ready);
+        self.put_entry(server, ServerPhase::Ready);
         Ok(())
     }
 
-    /// Crashes a server; it starts again at once, under its name.
+    /// Crashes a server and restarts it at once under the same name.
     pub(crate) fn restart(&self, server: usize) -> io::Result<()> {
-        let stub = ServerStub::start(stand_in_ip())?;
+        let stub = ServerStub::start(stub_ip())?;
         {
             let mut state = self.servers[server].lock();
-            stub.set_name(&server_name(server, state.life));
-            if let Some(before) = state.lives.last() {
+            stub.set_name(&server_name(server, state.generation));
+            if let Some(before) = state.instances.last() {
                 before.crash();
             }
             state.link.set_target(stub.address());
-            state.lives.push(stub);
-            state.word = StubSignals::default();
-            state.born = unix_millis().max(state.born + 1);
+            state.instances.push(stub);
+            state.signals = StubSignals::default();
+            state.started_ms = unix_millis().max(state.started_ms + 1);
         }
-        self.announce(server, ServerPhase::Ready);
+        self.put_entry(server, ServerPhase::Ready);
         Ok(())
     }
 
-    /// Lets the present life of a server say in its answers that it leaves.
-    pub(crate) fn leave(&self, server: usize) {
-        self.set_signals(server, |word| word.is_leaving = true);
+    /// Makes the present instance of a server signal that it is draining.
+    pub(crate) fn signal_drain(&self, server: usize) {
+        self.set_signals(server, |signals| signals.is_leaving = true);
     }
 
-    /// Lets the present life of a server turn requests away, or no longer.
-    pub(crate) fn rest(&self, server: usize, rest: Option<RequestedBackoff>) {
-        self.set_signals(server, |word| word.rest = rest);
+    /// Makes the present instance of a server reject requests and ask for `backoff`; `None` ends
+    /// that.
+    pub(crate) fn set_backoff(&self, server: usize, backoff: Option<RequestedBackoff>) {
+        self.set_signals(server, |signals| signals.rest = backoff);
     }
 
-    /// Lets the present life of a server name the requests a second that it takes, or none.
-    pub(crate) fn limit(&self, server: usize, limit: Option<&'static str>) {
-        self.set_signals(server, |word| word.limit = limit);
+    /// Makes the present instance of a server signal a limit in requests per second; `None`
+    /// ends that.
+    pub(crate) fn set_limit(&self, server: usize, limit: Option<&'static str>) {
+        self.set_signals(server, |signals| signals.limit = limit);
     }
 
     fn set_signals(&self, server: usize, change: impl FnOnce(&mut StubSignals)) {
         let mut state = self.servers[server].lock();
-        change(&mut state.word);
-        if let Some(life) = state.lives.last() {
-            life.set_signals(state.word);
+        change(&mut state.signals);
+        if let Some(instance) = state.instances.last() {
+            instance.set_signals(state.signals);
         }
     }
 
-    /// Leaves something in a server's entry that is none.
-    pub(crate) fn spoil(&self, server: usize, kind: usize) {
+    /// Overwrites a server's entry with a value that is not a server record.
+    pub(crate) fn put_foreign_entry(&self, server: usize, kind: usize) {
         let record = self.record(server, ServerPhase::Ready);
         let kinds = malformed_entries(&record);
         let left = kinds[kind % kinds.len()].text.clone();
         self.store.put(&server_key(record.name.as_str()), left);
     }
 
-    /// Writes a server's own entry again.
-    pub(crate) fn restore(&self, server: usize) {
-        self.announce(server, ServerPhase::Ready);
+    /// Rewrites a server's entry with its own record.
+    pub(crate) fn rewrite_entry(&self, server: usize) {
+        self.put_entry(server, ServerPhase::Ready);
     }
 
-    /// Announces that a server leaves.
+    /// Marks a server as draining in its entry.
     pub(crate) fn drain(&self, server: usize) {
-        self.announce(server, ServerPhase::Draining { left: None });
+        self.put_entry(server, ServerPhase::Draining { left: None });
     }
 
-    /// Starts the gateway of a VM, unless it runs.
+    /// Starts the gateway of a VM, unless it is running.
     pub(crate) fn start_vm(&self, vm: usize) -> io::Result<()> {
         let mut state = self.vms[vm].lock();
         if state.child.is_some() {
@@ -396,12 +398,12 @@
             .stdout(log)
             .spawn()?;
         state.child = Some(child);
-        state.life += 1;
+        state.incarnation += 1;
         state.is_ending = false;
         Ok(())
     }
 
-    /// Moves a VM's clock on; its gateway takes that with the reload that it is told of.
+    /// Advances a VM's clock; its gateway applies that when it reloads its settings.
     pub(crate) fn move_clock(&self, vm: usize, seconds: u64) -> io::Result<()> {
         {
             let mut state = self.vms[vm].lock();
@@ -413,7 +415,7 @@
         self.signal(vm, Signal::HUP)
     }
 
-    /// Sends a signal to the gateway of a VM, if it runs.
+    /// Sends a signal to the gateway of a VM, if it is running.
     pub(crate) fn signal(&self, vm: usize, signal: Signal) -> io::Result<()> {
         let mut state = self.vms[vm].lock();
         let Some(child) = &state.child else {
@@ -427,9 +429,12 @@
         Ok(())
     }
 
-    /// Takes the end of a VM's process, if it has ended; an error if nobody had
-    /// told it to end.
-    pub(crate) fn take_end(&self, vm: usize) -> Result<bool, ExitStatus> {
+    /// Reaps a VM's process; returns whether it is down.
+    ///
+    /// # Errors
+    ///
+    /// The process has ended without being told to.
+    pub(crate) fn reap(&self, vm: usize) -> Result<bool, ExitStatus> {
         let mut state = self.vms[vm].lock();
         let Some(child) = &mut state.child else {
             return Ok(true);
@@ -448,11 +453,11 @@
     }
 }
 
-impl Drop for SoakWorld {
+impl Drop for SoakDeployment {
     fn drop(&mut self) {
         for vm in &self.vms {
             if let Some(mut child) = vm.lock().child.take() {
-                // It may have ended by itself.
+                // The process may already have ended.
                 let _ = child.kill();
                 let _ = child.wait();
             }
@@ -466,8 +471,8 @@
     u64::try_from(millis).unwrap_or(u64::MAX)
 }
 
-fn server_name(server: usize, life: u64) -> String {
-    format!("s{server}-{life}")
+fn server_name(server: usize, generation: u64) -> String {
+    format!("s{server}-{generation}")
 }
 
 fn own_bytes() -> (u8, u8) {
@@ -475,7 +480,7 @@
     (high % 32, low)
 }
 
-/// Address of a VM; loopback addresses of this process alone, since gateways need
+/// Address of a VM. The loopback addresses are unique to this process, since gateways need
 /// the same ports on every VM.
 fn vm_ip(vm: usize) -> Ipv4Addr {
     let (high, low) = own_bytes();
@@ -483,15 +488,15 @@
     Ipv4Addr::new(127, 192 + high, low, vm)
 }
 
-/// Address that the connections of a VM come from; not its own, where a connection could
-/// take a port that its gateway needs when it starts again.
+/// Source address of a VM's connections. It differs from the VM's own address, where a
+/// connection could occupy a port that the gateway needs when it restarts.
 fn source_ip(vm: usize) -> Ipv4Addr {
     let [_, high, low, last] = vm_ip(vm).octets();
     Ipv4Addr::new(127, high - 32, low, last)
 }
 
-/// Address of stand-ins and links; never a VM's, whose ports must stay free.
-fn stand_in_ip() -> IpAddr {
+/// Address of stubs and links; never a VM's, whose ports must stay free.
+fn stub_ip() -> IpAddr {
     let (high, low) = own_bytes();
     IpAddr::V4(Ipv4Addr::new(127, 224 + high % 31, low, 1))
 }
@@ -520,7 +525,7 @@
          [listen]\ncallers = {ip}:{callers}\nready = {ip}:{ready}\ndirectory = {ip}:{directory}\n\
          peers = {ip}:{peers}\npeer-ports = {relay},{relay}\n\
          [peers]\nseeds = {}\n[store]\naddress = {store}\n\
-         [bounds]\nstop-grace-s = {GRACE_S}\nretry-ratio = 1\nretry-extra = 100\n",
+         [bounds]\nstop-grace-s = {STOP_GRACE_S}\nretry-ratio = 1\nretry-extra = 100\n",
         vm % REGIONS,
         source_ip(vm),
         seeds.join(","),
--- a/crates/soak/src/limits.rs
+++ b/crates/soak/src/limits.rs
@@ -1,8 +1,8 @@
-//! The rates that servers named against what reached them meanwhile.
+//! Checks that VMs keep to the rate limits that servers signal.
 //!
-//! A request counts if its caller sent it after any caller of the same VM had an answer
-//! that named the limit. A freeze or restart of the VM excuses it, and a harmed link to the
-//! server.
+//! A request counts if its caller sent it after any caller of the same VM had received a
+//! response that carried the limit. A suspension or restart of the VM excuses the request,
+//! and so does a faulty link to the server.
 
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
@@ -10,44 +10,44 @@
 use onyxfall_fakes::ArrivedRequest;
 
 use crate::checks::BrokenPromise;
-use crate::words::{DisturbedPart, LifeArrivals, WordChecks};
+use crate::signals::{DisturbedPart, InstanceArrivals, SignalChecks};
 
-/// Windows in which requests are counted.
+/// Lengths of the windows in which requests are counted.
 const WINDOWS: [Duration; 3] = [
     Duration::from_secs(1),
     Duration::from_secs(2),
     Duration::from_secs(4),
 ];
-/// Requests in a window that are allowed beside one and a half times the limit.
+/// Requests allowed in a window in addition to one and a half times the limit.
 const SLACK: f64 = 5.0;
-/// Time from the first answer that names a limit in which VMs hear of each other's word.
-const HEARD_AFTER: Duration = Duration::from_secs(1);
+/// Time from the first response with a limit in which VMs receive each other's signals.
+const PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
-/// A time in which every answer of a server named a limit.
+/// A period in which every response of a server carried a limit.
 struct LimitedTime<'a> {
-    /// The largest that it named.
+    /// The largest limit of the period, in requests per second.
     rate: f64,
     arrivals: Vec<&'a ArrivedRequest>,
 }
 
-impl WordChecks {
-    /// The promises that were broken at one life of a server; `vms` are the VMs' addresses.
+impl SignalChecks {
+    /// The limits exceeded at one instance of a server; `vms` are the VMs' addresses.
     pub(crate) fn check_limits(
         &mut self,
-        life: &LifeArrivals,
+        instance: &InstanceArrivals,
         vms: &[IpAddr],
     ) -> Vec<BrokenPromise> {
         let mut broken = Vec::new();
-        for limited in limited_times(&life.arrivals) {
-            let counted = self.counted(&limited, life.server, vms);
+        for limited in limited_times(&instance.arrivals) {
+            let counted = self.counted(&limited, instance.server, vms);
             self.limited += usize::from(!counted.is_empty());
             broken.extend(WINDOWS.into_iter().filter_map(|window| {
                 let most = busiest(&counted, window);
                 let allowed = 1.5 * limited.rate * window.as_secs_f64() + SLACK;
                 (most as f64 > allowed).then(|| {
-                    let LifeArrivals { server, life, .. } = life;
+                    let InstanceArrivals { server, instance, .. } = instance;
                     BrokenPromise::SentBeyondLimit(format!(
-                        "server {server}, life {life}: {most} requests in {window:?}, allowed {allowed}"
+                        "server {server}, instance {instance}: {most} requests in {window:?}, allowed {allowed}"
                     ))
                 })
             }));
@@ -55,7 +55,7 @@
         broken
     }
 
-    /// When the requests arrived that count against the limit.
+    /// Arrival times of the requests that count against the limit.
     fn counted(&self, limited: &LimitedTime<'_>, server: usize, vms: &[IpAddr]) -> Vec<Instant> {
         let Some(first) = limited.arrivals.first() else {
             return Vec::new();
@@ -75,7 +75,7 @@
                 let mut parts = parts.iter();
                 parts.any(|part| self.disturbances.is_disturbed(*part, first.at, until))
             };
-            let later = own().filter(|a| a.at >= first.at + HEARD_AFTER);
+            let later = own().filter(|a| a.at >= first.at + PROPAGATION_TIME);
             let later = later.filter(|a| is_sent_later(&a.request_id) && !is_disturbed(a.at));
             counted.extend(later.map(|a| a.at));
         }
@@ -84,7 +84,7 @@
     }
 }
 
-/// Arrivals in a row whose answers named a limit.
+/// Periods of consecutive arrivals whose responses carried a limit.
 fn limited_times(arrivals: &[ArrivedRequest]) -> Vec<LimitedTime<'_>> {
     let rate_of = |arrived: &ArrivedRequest| arrived.said.limit?.parse::<f64>().ok();
     let chunks = arrivals.chunk_by(|a, b| rate_of(a).is_some() == rate_of(b).is_some());
@@ -98,7 +98,7 @@
     times.collect()
 }
 
-/// The most moments within a window.
+/// The largest number of moments within one window.
 fn busiest(moments: &[Instant], window: Duration) -> usize {
     let within = |(index, first): (usize, &Instant)| {
         let later = &moments[index..];
--- a/crates/soak/src/link.rs
+++ b/crates/soak/src/link.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy before one listener, whose connections can be harmed.
+//! A loopback proxy in front of one listener that can delay, stall and reset connections.
 
 use std::io::{self, Read, Write};
 use std::net::{IpAddr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,43 +10,43 @@
 use socket2::{Domain, SockRef, Socket, Type};
 
 /// Delay of a slow link in one direction.
-const SLOW: Duration = Duration::from_millis(80);
-/// Look whether a held direction is free again.
-const LOOK: Duration = Duration::from_millis(10);
+const SLOW_DELAY: Duration = Duration::from_millis(80);
+/// Interval at which a stalled direction is checked for its release.
+const STALL_POLL: Duration = Duration::from_millis(10);
 const CHUNK: usize = 16 * 1024;
 
-/// What a link does with bytes.
+/// What a link does with the bytes of its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum LinkMode {
-    /// Passes them on.
+    /// Forwards them.
     #[default]
     Open,
-    /// Passes them on late.
+    /// Forwards them with a delay.
     Slow,
-    /// Resets every connection, also new ones.
+    /// Resets every connection, including new ones.
     Broken,
-    /// Holds what goes to the target.
-    HeldThere,
-    /// Holds what comes from the target.
-    HeldBack,
-    /// Holds both directions.
-    Held,
+    /// Stalls the bytes to the target.
+    StalledToTarget,
+    /// Stalls the bytes from the target.
+    StalledFromTarget,
+    /// Stalls both directions.
+    Stalled,
 }
 
-/// Direction of bytes.
+/// Direction in which bytes are forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum LinkWay {
-    There,
-    Back,
+enum LinkDirection {
+    ToTarget,
+    FromTarget,
 }
 
 impl LinkMode {
-    fn holds(self, way: LinkWay) -> bool {
+    fn stalls(self, direction: LinkDirection) -> bool {
         match self {
             Self::Open | Self::Slow | Self::Broken => false,
-            Self::HeldThere => way == LinkWay::There,
-            Self::HeldBack => way == LinkWay::Back,
-            Self::Held => true,
+            Self::StalledToTarget => direction == LinkDirection::ToTarget,
+            Self::StalledFromTarget => direction == LinkDirection::FromTarget,
+            Self::Stalled => true,
         }
     }
 }
@@ -57,14 +57,14 @@
     open: Vec<TcpStream>,
 }
 
-/// A running proxy.
-pub(crate) struct HarmedLink {
+/// A running proxy that can be made faulty.
+pub(crate) struct FaultyLink {
     address: SocketAddr,
     state: Arc<Mutex<LinkState>>,
 }
 
-impl HarmedLink {
-    /// Passes connections to `ip`, on a free port, on to `target`.
+impl FaultyLink {
+    /// Listens on a free port of `ip` and forwards connections to `target`.
     pub(crate) fn start(ip: IpAddr, target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind((ip, 0))?;
         let address = listener.local_addr()?;
@@ -85,12 +85,12 @@
         Ok(Self { address, state })
     }
 
-    /// Where it listens.
+    /// Address on which the link listens.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets what it does from now on.
+    /// Sets the mode of the link, also for open connections.
     pub(crate) fn set_mode(&self, mode: LinkMode) {
         let mut state = self.state.lock();
         state.mode = mode;
@@ -101,21 +101,21 @@
         }
     }
 
-    /// Leads new connections to another target.
+    /// Forwards new connections to another target.
     pub(crate) fn set_target(&self, target: SocketAddr) {
         self.state.lock().target = target;
     }
 }
 
-/// Closes a connection so that its other end sees a reset.
+/// Closes a connection with a reset.
 fn reset(stream: &TcpStream) {
-    // A socket that has failed already needs no reset.
+    // A socket that has already failed needs no reset.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-/// Connects to the target from the address that the connection comes from, so that the
-/// target sees which VM it is.
+/// Connects to the target from the source address of the incoming connection, so that the
+/// target can identify the VM.
 fn connect_as(near: &TcpStream, target: SocketAddr) -> io::Result<TcpStream> {
     let source = SocketAddr::new(near.peer_addr()?.ip(), 0);
     let socket = Socket::new(Domain::for_address(target), Type::STREAM, None)?;
@@ -147,24 +147,29 @@
             state.lock().open.push(copy);
         }
     }
-    let there = Arc::clone(state);
-    thread::spawn(move || pipe(near_copy, far_copy, LinkWay::There, &there));
-    pipe(far, near, LinkWay::Back, state);
+    let to_target = Arc::clone(state);
+    thread::spawn(move || pipe(near_copy, far_copy, LinkDirection::ToTarget, &to_target));
+    pipe(far, near, LinkDirection::FromTarget, state);
 }
 
-fn pipe(mut from: TcpStream, mut to: TcpStream, way: LinkWay, state: &Mutex<LinkState>) {
+fn pipe(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    direction: LinkDirection,
+    state: &Mutex<LinkState>,
+) {
     let mut buffer = vec![0; CHUNK];
     while let Ok(len) = from.read(&mut buffer) {
-        while state.lock().mode.holds(way) {
-            thread::sleep(LOOK);
+        while state.lock().mode.stalls(direction) {
+            thread::sleep(STALL_POLL);
         }
         if state.lock().mode == LinkMode::Slow {
-            thread::sleep(SLOW);
+            thread::sleep(SLOW_DELAY);
         }
         if len == 0 || to.write_all(&buffer[..len]).is_err() {
             break;
         }
     }
-    // Either end may be gone already.
+    // Either end may already be closed.
     let _ = to.shutdown(Shutdown::Write);
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,18 +1,18 @@
-//! The `onyxfall-soak` program: runs real gateways as processes on loopback, does
-//! them harm from outside by a plan drawn from a seed, and checks the promises from
-//! what callers and backend servers see.
+//! The `onyxfall-soak` program: runs real gateways as processes on loopback, injects
+//! faults from outside by a plan drawn from a seed, and checks the promises from
+//! what callers and backend servers observe.
 //!
-//! A seed gives the same plan each time; what the processes make of it depends on
-//! their scheduling, so a failure may take several runs of its seed to show again.
+//! A seed always gives the same plan, but its effect on the processes depends on
+//! scheduling, so it may take several runs of a seed to reproduce a failure.
 
 mod callers;
 mod checks;
+mod deployment;
 mod limits;
 mod link;
 mod plan;
 mod run;
-mod words;
-mod world;
+mod signals;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -23,7 +23,7 @@
 
 use crate::plan::RunSize;
 
-/// Harm real gateways from outside, and check what they promise.
+/// Inject faults into real gateways from outside, and check their promises.
 #[derive(FromArgs)]
 struct SoakArguments {
     /// first seed
@@ -66,7 +66,7 @@
     }
 }
 
-/// Plays every seed; returns how many failed.
+/// Runs every seed; returns the number that failed.
 fn run(arguments: &SoakArguments) -> Result<u64, Report> {
     let beside = std::env::current_exe()
         .into_diagnostic()?
@@ -85,7 +85,7 @@
     };
     let mut failed = 0;
     for seed in arguments.seed..arguments.seed + arguments.seeds {
-        let result = run::play(&program, seed, &size).into_diagnostic()?;
+        let result = run::run_seed(&program, seed, &size).into_diagnostic()?;
         let faults = result.plan.len();
         let broken = result.broken.len();
         println!(
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,8 +1,8 @@
-//! What is done to a deployment, and when, drawn from a seed.
+//! The plan of faults of a run, drawn from its seed.
 //!
-//! Faults overlap on purpose: each kind comes in a series of its own, and nothing
-//! waits for another fault to end. The last part of a run is free of faults, so
-//! that recovery can be checked.
+//! Faults overlap on purpose: each series is drawn independently, and no fault waits for
+//! another to end. The last part of a run is free of faults, so that recovery can be
+//! checked.
 
 use std::fmt;
 use std::time::Duration;
@@ -13,128 +13,128 @@
 
 use crate::link::LinkMode;
 
-/// Bounds of the time that one fault lasts.
+/// Range of a fault's duration, in milliseconds.
 const FAULT_MS: std::ops::Range<u64> = 200..2500;
-/// Mean time between the beginnings of two faults, in milliseconds.
+/// Mean time between the starts of two faults, in milliseconds.
 const FAULT_PAUSE_MS: u64 = 400;
-/// Pause before the first fault, so that every gateway serves.
+/// Delay before the first fault, so that every gateway is serving by then.
 const LEAD: Duration = Duration::from_secs(1);
-/// Entries change in a series of their own, so that the other faults of a seed stay
-/// those that it was first played with.
+/// Faults of server entries are drawn in a separate series, so that the other faults of a
+/// seed stay the same as before this series was added.
 const ENTRY_SERIES: u64 = 0x656e_7472_7965_7321;
-/// Mean time between the beginnings of two of these, in milliseconds.
+/// Mean time between the starts of two of these faults, in milliseconds.
 const ENTRY_PAUSE_MS: u64 = 1200;
-/// Kinds of what other writers leave in entries.
+/// Number of kinds of foreign entries.
 const FOREIGN_KINDS: usize = 15;
 
-/// Words of servers come in a series of their own, for the same reason.
-const WORD_SERIES: u64 = 0x776f_7264_735f_7331;
-/// Mean time between the beginnings of two of these, in milliseconds.
-const WORD_PAUSE_MS: u64 = 450;
-/// Times of rest that servers ask for, in seconds: whole, in part, absurd.
-const RESTS: [&str; 6] = ["1", "0.7", "2", "1.25", "-1", "soon"];
-/// Servers turn away every so-many-th request.
-const RESTS_EVERY: std::ops::Range<usize> = 1..4;
+/// Signals of servers are drawn in a separate series, for the same reason.
+const SIGNAL_SERIES: u64 = 0x776f_7264_735f_7331;
+/// Mean time between the starts of two of these faults, in milliseconds.
+const SIGNAL_PAUSE_MS: u64 = 450;
+/// Backoffs that servers ask for, in seconds: whole, fractional and malformed.
+const BACKOFFS: [&str; 6] = ["1", "0.7", "2", "1.25", "-1", "soon"];
+/// A server with backoff rejects every n-th request; the range of n.
+const REJECT_EVERY: std::ops::Range<usize> = 1..4;
 
-/// Limits of servers come in a series of their own, for the same reason.
+/// Limits of servers are drawn in a separate series, for the same reason.
 const LIMIT_SERIES: u64 = 0x6c69_6d69_7473_5f31;
-/// Mean time between the beginnings of two of these, in milliseconds, and how long one
-/// lasts: time must be left after every VM has read it.
+/// Mean time between the starts of two of these faults, in milliseconds, and the range
+/// of their duration: it must continue after every VM has received the limit.
 const LIMIT_PAUSE_MS: u64 = 1800;
 const LIMIT_MS: std::ops::Range<u64> = 1500..5000;
-/// Requests a second that servers take: few, none, absurd.
+/// Limits that servers signal, in requests per second: low, zero and malformed.
 const LIMITS: [&str; 6] = ["1", "2.5", "0.4", "4", "0", "soon"];
 
-/// Restores of the store come in a series of their own, for the same reason.
+/// Restores of the store are drawn in a separate series, for the same reason.
 const RESTORE_SERIES: u64 = 0x7265_7374_6f72_6531;
-/// Mean time between the beginnings of two of these, in milliseconds.
+/// Mean time between the starts of two of these faults, in milliseconds.
 const RESTORE_PAUSE_MS: u64 = 3000;
 
-/// Suspensions come in a series of their own, for the same reason.
-const AWAY_SERIES: u64 = 0x6177_6179_5f73_6572;
-/// Mean time between the beginnings of two of these, in milliseconds.
-const AWAY_PAUSE_MS: u64 = 1700;
-/// Seconds that a suspended VM's clock is ahead afterwards.
-const AWAY_S: std::ops::RangeInclusive<u64> = 1..=60;
+/// Suspensions are drawn in a separate series, for the same reason.
+const SUSPENSION_SERIES: u64 = 0x6177_6179_5f73_6572;
+/// Mean time between the starts of two of these faults, in milliseconds.
+const SUSPENSION_PAUSE_MS: u64 = 1700;
+/// Seconds by which a suspended VM's clock is advanced.
+const SUSPENSION_S: std::ops::RangeInclusive<u64> = 1..=60;
 
-/// How the next life of a server is called.
+/// Name of a server's next instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NextLife {
-    /// By a new name.
+pub(crate) enum NextInstance {
+    /// The next instance has a new name.
     Renamed,
-    /// As the one before; its birth tells them apart.
-    Reborn,
+    /// The next instance keeps the name; only its start time differs.
+    Restarted,
 }
 
-/// A fault; `usize` names the VM or server that it strikes.
+/// A fault; the first `usize` is the index of the VM or server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// The gateway is killed, and started again at the end.
+    /// The gateway is killed, and restarted when the fault ends.
     Kill(usize),
-    /// The gateway is told to stop, and started again once it has ended.
+    /// The gateway is told to shut down, and restarted once it has ended.
     Stop(usize),
     /// The gateway is paused.
     Pause(usize),
-    /// The gateway is paused, and its clock has gone on by so many seconds afterwards, as
-    /// after a suspension.
+    /// The gateway is paused, and its clock is advanced by the given seconds afterwards, as
+    /// after a suspension of the VM.
     Suspend(usize, u64),
-    /// The gateway is told to read its settings again.
+    /// The gateway is told to reload its settings.
     Reload(usize),
-    /// The link between a gateway and the store.
+    /// Sets the mode of the link between a gateway and the store.
     StoreLink(usize, LinkMode),
-    /// The link between callers and a gateway.
+    /// Sets the mode of the link between callers and a gateway.
     CallerLink(usize, LinkMode),
-    /// The link between gateways and a server.
+    /// Sets the mode of the link between gateways and a server.
     ServerLink(usize, LinkMode),
-    /// The store itself.
+    /// Sets the mode of the store.
     Store(StoreMode),
-    /// The store drops its history.
-    ForgetHistory,
-    /// The store comes back from a copy that was made at the beginning.
+    /// The store compacts its history.
+    CompactHistory,
+    /// The store is restored from a snapshot made at the start of the fault.
     Restore,
-    /// What a server does with requests.
+    /// Sets how a server fails requests.
     Server(usize, ServerFault),
-    /// A server leaves and a new life takes its place.
+    /// A server drains, and a new instance with a new name replaces it.
     Replace(usize),
-    /// A new configuration.
+    /// The operator writes a new configuration.
     Configure,
-    /// A server crashes and starts again under its name.
-    Rebirth(usize),
-    /// A server leaves and says so in its answers alone; at the end a new life takes its
-    /// place.
-    Leave(usize, NextLife),
-    /// A server turns requests away and asks for rest.
-    Rest(usize, RequestedBackoff),
-    /// A server names the requests a second that it takes.
+    /// A server crashes and restarts under the same name.
+    Restart(usize),
+    /// A server signals in its responses alone that it is draining; when the fault ends, a
+    /// new instance replaces it.
+    SignalDrain(usize, NextInstance),
+    /// A server rejects requests and asks for backoff.
+    Backoff(usize, RequestedBackoff),
+    /// A server signals a limit, in requests per second.
     Limit(usize, &'static str),
-    /// Another writer leaves something in a server's entry that is none.
-    /// The second number says what it is.
-    Foreign(usize, usize),
+    /// Another writer overwrites a server's entry with a foreign value. The second number
+    /// selects the kind of value.
+    MalformedEntry(usize, usize),
 }
 
 impl Fault {
-    /// Whether it is over at once.
+    /// Whether the fault has no duration.
     pub(crate) fn is_momentary(self) -> bool {
         matches!(
             self,
             Self::Stop(_)
                 | Self::Reload(_)
-                | Self::ForgetHistory
+                | Self::CompactHistory
                 | Self::Replace(_)
                 | Self::Configure
-                | Self::Rebirth(_)
+                | Self::Restart(_)
         )
     }
 }
 
-/// A fault with its time.
+/// A fault with its start and end.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PlannedFault {
-    /// When it begins, from the start of the run.
+    /// Start of the fault, from the start of the run.
     pub(crate) at: Duration,
-    /// When it ends.
+    /// End of the fault, from the start of the run.
     pub(crate) until: Duration,
-    /// What it is.
+    /// The fault.
     pub(crate) fault: Fault,
 }
 
@@ -145,33 +145,33 @@
     }
 }
 
-/// How large a run is.
+/// Size of a run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunSize {
-    /// Gateways.
+    /// Number of gateways.
     pub(crate) vms: usize,
-    /// Servers.
+    /// Number of backend servers.
     pub(crate) servers: usize,
-    /// Time with faults.
+    /// Length of the part with faults.
     pub(crate) time: Duration,
 }
 
 /// Draws one fault.
 type DrawFault = fn(&mut StdRng, &RunSize) -> Fault;
 
-/// Faults that come in a series of their own.
+/// A series of faults that is drawn independently of other series.
 struct FaultSeries {
-    /// Keeps its draws apart from those of other series.
+    /// Combined with the seed, so that each series has its own random draws.
     name: u64,
-    /// Mean time between the beginnings of two, in milliseconds.
+    /// Mean time between the starts of two faults, in milliseconds.
     pause_ms: u64,
-    /// How long one lasts, in milliseconds.
+    /// Range of a fault's duration, in milliseconds.
     lasts_ms: std::ops::Range<u64>,
     draw: DrawFault,
 }
 
 impl FaultSeries {
-    /// The faults of a seed.
+    /// Draws the faults of a seed.
     fn draw(&self, seed: u64, size: &RunSize) -> Vec<PlannedFault> {
         let mut rng = StdRng::seed_from_u64(seed ^ self.name);
         let millis = u64::try_from(size.time.as_millis()).unwrap_or(u64::MAX);
@@ -189,7 +189,7 @@
     }
 }
 
-/// The faults of a seed, in the order of their beginning.
+/// Draws the faults of a seed, in the order of their start.
 pub(crate) fn draw_plan(seed: u64, size: &RunSize) -> Vec<PlannedFault> {
     let usual = |name, pause_ms, draw: DrawFault| FaultSeries {
         name,
@@ -200,8 +200,8 @@
     let series = [
         usual(0, FAULT_PAUSE_MS, draw_fault),
         usual(ENTRY_SERIES, ENTRY_PAUSE_MS, draw_entry_fault),
-        usual(WORD_SERIES, WORD_PAUSE_MS, draw_word),
-        usual(AWAY_SERIES, AWAY_PAUSE_MS, draw_suspension),
+        usual(SIGNAL_SERIES, SIGNAL_PAUSE_MS, draw_signal),
+        usual(SUSPENSION_SERIES, SUSPENSION_PAUSE_MS, draw_suspension),
         usual(RESTORE_SERIES, RESTORE_PAUSE_MS, |_, _| Fault::Restore),
         FaultSeries {
             lasts_ms: LIMIT_MS,
@@ -217,27 +217,27 @@
 fn draw_entry_fault(rng: &mut StdRng, size: &RunSize) -> Fault {
     let server = rng.random_range(0..size.servers);
     if rng.random() {
-        Fault::Rebirth(server)
+        Fault::Restart(server)
     } else {
-        Fault::Foreign(server, rng.random_range(0..FOREIGN_KINDS))
+        Fault::MalformedEntry(server, rng.random_range(0..FOREIGN_KINDS))
     }
 }
 
-fn draw_word(rng: &mut StdRng, size: &RunSize) -> Fault {
+fn draw_signal(rng: &mut StdRng, size: &RunSize) -> Fault {
     let server = rng.random_range(0..size.servers);
     if rng.random_range(0..3) == 0 {
         let next = if rng.random() {
-            NextLife::Renamed
+            NextInstance::Renamed
         } else {
-            NextLife::Reborn
+            NextInstance::Restarted
         };
-        return Fault::Leave(server, next);
+        return Fault::SignalDrain(server, next);
     }
-    let rest = RequestedBackoff {
-        seconds: RESTS[rng.random_range(0..RESTS.len())],
-        every: rng.random_range(RESTS_EVERY),
+    let backoff = RequestedBackoff {
+        seconds: BACKOFFS[rng.random_range(0..BACKOFFS.len())],
+        every: rng.random_range(REJECT_EVERY),
     };
-    Fault::Rest(server, rest)
+    Fault::Backoff(server, backoff)
 }
 
 fn draw_limit(rng: &mut StdRng, size: &RunSize) -> Fault {
@@ -247,7 +247,7 @@
 
 fn draw_suspension(rng: &mut StdRng, size: &RunSize) -> Fault {
     let vm = rng.random_range(0..size.vms);
-    Fault::Suspend(vm, rng.random_range(AWAY_S))
+    Fault::Suspend(vm, rng.random_range(SUSPENSION_S))
 }
 
 fn draw_fault(rng: &mut StdRng, size: &RunSize) -> Fault {
@@ -266,8 +266,8 @@
         } else {
             StoreMode::Unresponsive
         }),
-        11 => Fault::ForgetHistory,
-        12..=14 => Fault::Server(server, draw_failing(rng)),
+        11 => Fault::CompactHistory,
+        12..=14 => Fault::Server(server, draw_server_fault(rng)),
         15 => Fault::Replace(server),
         _ => Fault::Configure,
     }
@@ -277,13 +277,13 @@
     match rng.random_range(0..5) {
         0 => LinkMode::Slow,
         1 => LinkMode::Broken,
-        2 => LinkMode::HeldThere,
-        3 => LinkMode::HeldBack,
-        _ => LinkMode::Held,
+        2 => LinkMode::StalledToTarget,
+        3 => LinkMode::StalledFromTarget,
+        _ => LinkMode::Stalled,
     }
 }
 
-fn draw_failing(rng: &mut StdRng) -> ServerFault {
+fn draw_server_fault(rng: &mut StdRng) -> ServerFault {
     const ALL: [ServerFault; 6] = [
         ServerFault::Fails,
         ServerFault::Rejects,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,5 @@
-//! One run: faults by plan, callers throughout, checks while it goes on and after.
+//! One run: applies the planned faults while callers send requests, and checks the
+//! promises during and after the faults.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -10,44 +11,45 @@
 use rustix::process::Signal;
 use ureq::Agent;
 
-use crate::callers::{CallReport, CallerCrowd, call, new_agent};
+use crate::callers::{CallReport, CallerGroup, call, new_agent};
 use crate::checks::{BrokenPromise, PromiseChecks};
+use crate::deployment::{RequestKind, SoakDeployment, version_path};
 use crate::link::LinkMode;
-use crate::plan::{Fault, NextLife, PlannedFault, RunSize, draw_plan};
-use crate::words::{DisturbedPart, LifeArrivals, WordChecks};
-use crate::world::{RequestKind, SoakWorld, version_path};
+use crate::plan::{Fault, NextInstance, PlannedFault, RunSize, draw_plan};
+use crate::signals::{DisturbedPart, InstanceArrivals, SignalChecks};
 
-/// Pause between two steps of the run.
+/// Interval between two steps of the run.
 const STEP: Duration = Duration::from_millis(20);
-/// Steps between two rounds of probes of the configuration in force.
+/// Steps between two probes of the configuration in force.
 const PROBE_STEPS: u64 = 10;
-/// Time after which operator and servers write again what a restored store has lost.
-const WRITTEN_AGAIN: Duration = Duration::from_millis(300);
-/// Callers.
+/// Delay until the operator and the servers rewrite what a restored store has lost.
+const REWRITE_DELAY: Duration = Duration::from_millis(300);
+/// Number of concurrent callers.
 const CALLERS: usize = 6;
-/// Time in which everything must be back after the faults. Bounds of the users'
-/// pages are a third of that; the rest is for a busy machine.
+/// Time in which everything must have recovered after the faults. The documented bounds
+/// are a third of it; the rest allows for a busy machine.
 const RECOVERY: Duration = Duration::from_secs(25);
-/// Time after which a server that leaves must get no more work, by the same rule.
+/// Time after which a draining server must receive no more requests, with the same
+/// allowance.
 const DRAIN_BOUND: Duration = Duration::from_secs(12);
-/// Time in which nothing may arrive then.
+/// Time without a request that shows that a drained server receives nothing more.
 const DRAIN_WATCH: Duration = Duration::from_secs(1);
 
-/// What came of a run.
+/// Result of a run.
 pub(crate) struct RunResult {
     /// Promises that were broken.
     pub(crate) broken: Vec<BrokenPromise>,
-    /// Requests by status; 0 stands for no answer.
+    /// Requests by status; 0 stands for no response.
     pub(crate) summary: String,
-    /// The plan, for the report of a run that failed.
+    /// The plan, printed if the run fails.
     pub(crate) plan: Vec<PlannedFault>,
 }
 
-/// Plays the run of a seed.
-pub(crate) fn play(program: &Path, seed: u64, size: &RunSize) -> io::Result<RunResult> {
+/// Runs the plan of a seed.
+pub(crate) fn run_seed(program: &Path, seed: u64, size: &RunSize) -> io::Result<RunResult> {
     let plan = draw_plan(seed, size);
-    let world = SoakWorld::start(program, seed, size)?;
-    let targets: Vec<SocketAddr> = world
+    let deployment = SoakDeployment::start(program, seed, size)?;
+    let targets: Vec<SocketAddr> = deployment
         .vms
         .iter()
         .map(|vm| vm.lock().caller_link.address())
@@ -57,33 +59,33 @@
         seen: vec![(0, 0); size.vms],
         runs_read: vec![Vec::new(); size.servers],
         checks: PromiseChecks::default(),
-        words: WordChecks::default(),
+        signals: SignalChecks::default(),
         probes: 0,
-        write_again_at: None,
+        rewrite_at: None,
         targets: targets.clone(),
-        world: &world,
+        deployment: &deployment,
     };
     run.wait_served("at the start");
-    let crowd = CallerCrowd::start(seed, CALLERS, &targets);
-    run.play_faults(&plan, &crowd, size)?;
+    let callers = CallerGroup::start(seed, CALLERS, &targets);
+    run.play_faults(&plan, &callers, size)?;
     run.wait_served("after the faults");
     run.wait_in_force();
     run.wait_used();
     run.check_drain();
-    for report in crowd.finish() {
-        run.take_report(report);
+    for report in callers.finish() {
+        run.record_report(report);
     }
-    run.take_runs();
-    run.check_words();
+    run.record_runs();
+    run.check_signals();
     let broken = run.checks.broken();
-    let told = run.words.told;
-    let limited = run.words.limited;
+    let checked = run.signals.checked;
+    let limited = run.signals.limited;
     let summary = format!(
-        "{:?}, {told} words and {limited} limits of servers checked",
+        "{:?}, {checked} signals and {limited} limits of servers checked",
         run.checks.statuses
     );
     if !broken.is_empty() {
-        eprintln!("logs of the gateways: {}", world.dir().display());
+        eprintln!("logs of the gateways: {}", deployment.dir().display());
     }
     Ok(RunResult {
         broken,
@@ -93,25 +95,26 @@
 }
 
 struct SoakRun<'a> {
-    world: &'a SoakWorld,
+    deployment: &'a SoakDeployment,
     targets: Vec<SocketAddr>,
     probe: Agent,
-    /// Life and newest version seen in force there, by VM.
+    /// By VM: its incarnation and the newest version seen in force in it.
     seen: Vec<(u64, u64)>,
-    /// Runs already taken, by server and life.
+    /// Number of runs already recorded, by server and instance.
     runs_read: Vec<Vec<usize>>,
     checks: PromiseChecks,
-    words: WordChecks,
+    signals: SignalChecks,
     probes: u64,
-    /// When operator and servers write again what a restored store has lost.
-    write_again_at: Option<Duration>,
+    /// When the operator and the servers rewrite what a restored store has lost, from the
+    /// start of the run.
+    rewrite_at: Option<Duration>,
 }
 
 impl SoakRun<'_> {
     fn play_faults(
         &mut self,
         plan: &[PlannedFault],
-        crowd: &CallerCrowd,
+        callers: &CallerGroup,
         size: &RunSize,
     ) -> io::Result<()> {
         let begun = Instant::now();
@@ -120,7 +123,7 @@
         let mut steps = 0_u64;
         while next < plan.len()
             || !open.is_empty()
-            || self.write_again_at.is_some()
+            || self.rewrite_at.is_some()
             || begun.elapsed() < size.time
         {
             let now = begun.elapsed();
@@ -134,21 +137,21 @@
             let (over, still): (Vec<_>, Vec<_>) = open.iter().partition(|fault| fault.until <= now);
             open = still;
             for (index, fault) in over.iter().enumerate() {
-                // Another fault of the same kind may still hold it, or end at the same time.
+                // Another fault on the same target may still be active, or end in this step.
                 let mut others = open.iter().chain(&over[index + 1..]);
                 if !others.any(|other| is_same_target(other.fault, fault.fault)) {
                     self.end(fault.fault)?;
                     if fault.fault == Fault::Restore {
-                        self.write_again_at = Some(now + WRITTEN_AGAIN);
+                        self.rewrite_at = Some(now + REWRITE_DELAY);
                     }
                 }
             }
-            if self.write_again_at.is_some_and(|at| now >= at) {
-                self.write_again_at = None;
-                self.world.write_again();
+            if self.rewrite_at.is_some_and(|at| now >= at) {
+                self.rewrite_at = None;
+                self.deployment.rewrite_lost();
             }
-            self.look_after_vms(&open)?;
-            self.take_what_was_seen(crowd);
+            self.reap_vms(&open)?;
+            self.record_observations(callers);
             steps += 1;
             if steps.is_multiple_of(PROBE_STEPS) {
                 self.probe_versions();
@@ -156,72 +159,72 @@
             thread::sleep(STEP);
         }
         for vm in 0..size.vms {
-            self.world.signal(vm, Signal::CONT)?;
+            self.deployment.signal(vm, Signal::CONT)?;
         }
         Ok(())
     }
 
     fn begin(&mut self, fault: Fault) -> io::Result<()> {
         if let Some(part) = disturbed_part(fault) {
-            self.words.disturbances.begin(part);
+            self.signals.disturbances.begin(part);
         }
         self.set(fault)
     }
 
     fn set(&self, fault: Fault) -> io::Result<()> {
         match fault {
-            Fault::Kill(vm) => self.world.signal(vm, Signal::KILL),
-            Fault::Stop(vm) => self.world.signal(vm, Signal::TERM),
-            Fault::Pause(vm) | Fault::Suspend(vm, _) => self.world.signal(vm, Signal::STOP),
-            Fault::Reload(vm) => self.world.signal(vm, Signal::HUP),
-            Fault::Replace(server) => self.world.replace(server),
-            Fault::Rebirth(server) => self.world.restart(server),
-            Fault::Leave(server, _) => {
-                self.world.leave(server);
+            Fault::Kill(vm) => self.deployment.signal(vm, Signal::KILL),
+            Fault::Stop(vm) => self.deployment.signal(vm, Signal::TERM),
+            Fault::Pause(vm) | Fault::Suspend(vm, _) => self.deployment.signal(vm, Signal::STOP),
+            Fault::Reload(vm) => self.deployment.signal(vm, Signal::HUP),
+            Fault::Replace(server) => self.deployment.replace(server),
+            Fault::Restart(server) => self.deployment.restart(server),
+            Fault::SignalDrain(server, _) => {
+                self.deployment.signal_drain(server);
                 Ok(())
             }
-            Fault::Rest(server, rest) => {
-                self.world.rest(server, Some(rest));
+            Fault::Backoff(server, backoff) => {
+                self.deployment.set_backoff(server, Some(backoff));
                 Ok(())
             }
             Fault::Limit(server, limit) => {
-                self.world.limit(server, Some(limit));
+                self.deployment.set_limit(server, Some(limit));
                 Ok(())
             }
-            Fault::Foreign(server, kind) => {
-                self.world.spoil(server, kind);
+            Fault::MalformedEntry(server, kind) => {
+                self.deployment.put_foreign_entry(server, kind);
                 Ok(())
             }
             Fault::StoreLink(vm, mode) => {
-                self.world.vms[vm].lock().store_link.set_mode(mode);
+                self.deployment.vms[vm].lock().store_link.set_mode(mode);
                 Ok(())
             }
             Fault::CallerLink(vm, mode) => {
-                self.world.vms[vm].lock().caller_link.set_mode(mode);
+                self.deployment.vms[vm].lock().caller_link.set_mode(mode);
                 Ok(())
             }
             Fault::ServerLink(server, mode) => {
-                self.world.servers[server].lock().link.set_mode(mode);
+                self.deployment.servers[server].lock().link.set_mode(mode);
                 Ok(())
             }
             Fault::Store(mode) => {
-                self.world.store.set_mode(mode);
+                self.deployment.store.set_mode(mode);
                 Ok(())
             }
-            Fault::ForgetHistory => {
-                self.world.store.compact_history();
+            Fault::CompactHistory => {
+                self.deployment.store.compact_history();
                 Ok(())
             }
             Fault::Restore => {
-                self.world.save_snapshot();
+                self.deployment.save_snapshot();
                 Ok(())
             }
-            Fault::Server(server, failing) => {
-                self.set_fault(server, failing);
+            Fault::Server(server, fault) => {
+                self.set_fault(server, fault);
                 Ok(())
             }
             Fault::Configure => {
-                self.world.configure();
+                self.deployment.configure();
                 Ok(())
             }
         }
@@ -230,70 +233,72 @@
     fn end(&mut self, fault: Fault) -> io::Result<()> {
         self.lift(fault)?;
         match disturbed_part(fault) {
-            // Until it is started again.
+            // A process stays disturbed until it is started again.
             None | Some(DisturbedPart::Process(_)) => {}
-            Some(part) => self.words.disturbances.end(part),
+            Some(part) => self.signals.disturbances.end(part),
         }
         Ok(())
     }
 
     fn lift(&self, fault: Fault) -> io::Result<()> {
         match fault {
-            Fault::Pause(vm) => self.world.signal(vm, Signal::CONT),
+            Fault::Pause(vm) => self.deployment.signal(vm, Signal::CONT),
             Fault::Suspend(vm, seconds) => {
-                self.world.move_clock(vm, seconds)?;
-                self.world.signal(vm, Signal::CONT)
+                self.deployment.move_clock(vm, seconds)?;
+                self.deployment.signal(vm, Signal::CONT)
             }
             Fault::StoreLink(vm, _) => self.set(Fault::StoreLink(vm, LinkMode::Open)),
             Fault::CallerLink(vm, _) => self.set(Fault::CallerLink(vm, LinkMode::Open)),
             Fault::ServerLink(server, _) => self.set(Fault::ServerLink(server, LinkMode::Open)),
             Fault::Store(_) => self.set(Fault::Store(StoreMode::Normal)),
-            Fault::Foreign(server, _) => {
-                self.world.restore(server);
+            Fault::MalformedEntry(server, _) => {
+                self.deployment.rewrite_entry(server);
                 Ok(())
             }
             Fault::Server(server, _) => self.set(Fault::Server(server, ServerFault::None)),
-            Fault::Leave(server, NextLife::Renamed) => self.world.succeed(server),
-            Fault::Leave(server, NextLife::Reborn) => self.world.restart(server),
-            Fault::Rest(server, _) => {
-                self.world.rest(server, None);
+            Fault::SignalDrain(server, NextInstance::Renamed) => {
+                self.deployment.replace_instance(server)
+            }
+            Fault::SignalDrain(server, NextInstance::Restarted) => self.deployment.restart(server),
+            Fault::Backoff(server, _) => {
+                self.deployment.set_backoff(server, None);
                 Ok(())
             }
             Fault::Limit(server, _) => {
-                self.world.limit(server, None);
+                self.deployment.set_limit(server, None);
                 Ok(())
             }
             Fault::Restore => {
-                self.world.store.restore_snapshot();
+                self.deployment.store.restore_snapshot();
                 Ok(())
             }
             Fault::Kill(_)
             | Fault::Stop(_)
             | Fault::Reload(_)
-            | Fault::ForgetHistory
+            | Fault::CompactHistory
             | Fault::Replace(_)
-            | Fault::Rebirth(_)
+            | Fault::Restart(_)
             | Fault::Configure => Ok(()),
         }
     }
 
-    fn set_fault(&self, server: usize, failing: ServerFault) {
-        for life in &self.world.servers[server].lock().lives {
-            life.set_fault(failing);
+    fn set_fault(&self, server: usize, fault: ServerFault) {
+        for instance in &self.deployment.servers[server].lock().instances {
+            instance.set_fault(fault);
         }
     }
 
-    /// Takes ends of processes, and starts those anew that nobody holds down.
-    fn look_after_vms(&mut self, open: &[PlannedFault]) -> io::Result<()> {
+    /// Reaps processes that have ended, and restarts those that no kill fault keeps down.
+    fn reap_vms(&mut self, open: &[PlannedFault]) -> io::Result<()> {
         for vm in 0..self.targets.len() {
             let is_held = open.iter().any(|fault| fault.fault == Fault::Kill(vm));
-            match self.world.take_end(vm) {
+            match self.deployment.reap(vm) {
                 Ok(true) if !is_held => self.restart_vm(vm)?,
                 Ok(_) => {}
                 Err(status) => {
                     let broken = BrokenPromise::Exited(format!("vm{vm}: {status}"));
-                    self.checks.note(broken);
-                    self.words.disturbances.begin(DisturbedPart::Process(vm));
+                    self.checks.record(broken);
+                    self.signals.disturbances.begin(DisturbedPart::Process(vm));
                     self.restart_vm(vm)?;
                 }
             }
@@ -302,59 +307,59 @@
     }
 
     fn restart_vm(&mut self, vm: usize) -> io::Result<()> {
-        self.world.start_vm(vm)?;
-        self.words.disturbances.end(DisturbedPart::Process(vm));
+        self.deployment.start_vm(vm)?;
+        self.signals.disturbances.end(DisturbedPart::Process(vm));
         Ok(())
     }
 
-    fn take_report(&mut self, report: CallReport) {
-        self.words.take_report(&report);
-        self.checks.take_report(report);
+    fn record_report(&mut self, report: CallReport) {
+        self.signals.record_report(&report);
+        self.checks.record_report(report);
     }
 
-    /// Compares what servers said of themselves with what reached them afterwards.
-    fn check_words(&mut self) {
+    /// Checks that VMs obeyed the signals in the servers' responses.
+    fn check_signals(&mut self) {
         let vms: Vec<IpAddr> = (0..self.targets.len())
-            .map(SoakWorld::source_address)
+            .map(SoakDeployment::source_address)
             .collect();
-        let mut lives = Vec::new();
-        for (server, state) in self.world.servers.iter().enumerate() {
-            for (life, stub) in state.lock().lives.iter().enumerate() {
+        let mut instances = Vec::new();
+        for (server, state) in self.deployment.servers.iter().enumerate() {
+            for (instance, stub) in state.lock().instances.iter().enumerate() {
                 let arrivals = stub.arrivals_from(0);
-                lives.push(LifeArrivals {
+                instances.push(InstanceArrivals {
                     server,
-                    life,
+                    instance,
                     arrivals,
                 });
             }
         }
-        for life in &lives {
-            self.words.note_arrivals(life);
+        for instance in &instances {
+            self.signals.record_arrivals(instance);
         }
-        for life in &lives {
-            let broken = self.words.check(life, &vms);
-            let beyond = self.words.check_limits(life, &vms);
+        for instance in &instances {
+            let broken = self.signals.check(instance, &vms);
+            let beyond = self.signals.check_limits(instance, &vms);
             for broken in broken.into_iter().chain(beyond) {
-                self.checks.note(broken);
+                self.checks.record(broken);
             }
         }
     }
 
-    fn take_what_was_seen(&mut self, crowd: &CallerCrowd) {
-        for report in crowd.take_reports() {
-            self.take_report(report);
+    fn record_observations(&mut self, callers: &CallerGroup) {
+        for report in callers.drain_reports() {
+            self.record_report(report);
         }
-        self.take_runs();
+        self.record_runs();
     }
 
-    fn take_runs(&mut self) {
+    fn record_runs(&mut self) {
         for (server, read) in self.runs_read.iter_mut().enumerate() {
-            let state = self.world.servers[server].lock();
-            read.resize(state.lives.len(), 0);
-            for (life, read) in state.lives.iter().zip(read) {
-                for run in life.runs_from(*read) {
+            let state = self.deployment.servers[server].lock();
+            read.resize(state.instances.len(), 0);
+            for (instance, read) in state.instances.iter().zip(read) {
+                for run in instance.runs_from(*read) {
                     *read += 1;
-                    self.checks.take_run(&run);
+                    self.checks.record_run(&run);
                 }
             }
         }
@@ -365,11 +370,11 @@
         let id = format!("probe-{}", self.probes);
         let to = self.targets[vm];
         let report = call(&self.probe, to, path, &id, RequestKind::Repeatable);
-        self.words.take_report(&report);
+        self.signals.record_report(&report);
         report
     }
 
-    /// Whether a VM has a route of that version alone in force.
+    /// Whether a VM has in force the route that only configuration `version` contains.
     fn has_version(&mut self, vm: usize, version: u64) -> bool {
         let report = self.probe(vm, &format!("{}x", version_path(version)));
         report
@@ -377,21 +382,21 @@
             .is_some_and(|status| status != 404 && status != 503)
     }
 
-    /// Asks one VM for the newest configuration and for the one before it: in one
-    /// life, none may answer to an older one after a newer one.
+    /// Probes one VM for the newest configuration and for the one before the newest seen
+    /// there. A process that has served a newer version must never serve an older one.
     fn probe_versions(&mut self) {
         let vm = usize::try_from(self.probes).unwrap_or(0) % self.targets.len();
-        let life = self.world.vms[vm].lock().life;
-        let newest = *self.world.version.lock();
-        if self.seen[vm].0 != life {
-            self.seen[vm] = (life, 0);
+        let incarnation = self.deployment.vms[vm].lock().incarnation;
+        let newest = *self.deployment.version.lock();
+        if self.seen[vm].0 != incarnation {
+            self.seen[vm] = (incarnation, 0);
         }
         let known = self.seen[vm].1;
         if known > 1 && self.has_version(vm, known - 1) {
-            let is_same_life = self.world.vms[vm].lock().life == life;
-            if is_same_life {
+            let is_same_process = self.deployment.vms[vm].lock().incarnation == incarnation;
+            if is_same_process {
                 let broken = BrokenPromise::Reverted(format!("vm{vm} from v{known}"));
-                self.checks.note(broken);
+                self.checks.record(broken);
             }
         }
         if newest > known && self.has_version(vm, newest) {
@@ -399,7 +404,7 @@
         }
     }
 
-    /// Waits until every VM serves every kind.
+    /// Waits until every VM serves every kind of request.
     fn wait_served(&mut self, when: &str) {
         for vm in 0..self.targets.len() {
             for kind in RequestKind::ALL {
@@ -407,50 +412,53 @@
                 let is_back = self.wait(|run| run.probe(vm, &path).status == Some(200));
                 if !is_back {
                     let what = format!("vm{vm} does not serve {kind:?} {when}");
-                    self.checks.note(BrokenPromise::NotRecovered(what));
+                    self.checks.record(BrokenPromise::NotRecovered(what));
                 }
             }
         }
     }
 
     fn wait_in_force(&mut self) {
-        let newest = *self.world.version.lock();
+        let newest = *self.deployment.version.lock();
         for vm in 0..self.targets.len() {
             if !self.wait(|run| run.has_version(vm, newest)) {
                 let what = format!("vm{vm} does not have v{newest} in force");
-                self.checks.note(BrokenPromise::NotRecovered(what));
+                self.checks.record(BrokenPromise::NotRecovered(what));
             }
         }
     }
 
-    /// Waits until every server that has started again gets requests in its present life:
-    /// what was known of its former ones must not keep it out.
+    /// Waits until every restarted server receives requests in its present instance: the
+    /// state kept about former instances must not exclude it.
     fn wait_used(&mut self) {
         let arrived = |run: &Self, server: usize| {
-            let state = run.world.servers[server].lock();
-            state.lives.last().map_or(0, ServerStub::arrived)
+            let state = run.deployment.servers[server].lock();
+            state.instances.last().map_or(0, ServerStub::arrived)
         };
-        let servers = self.world.servers.iter().enumerate();
-        let reborn: Vec<usize> = servers
-            .filter(|(_, server)| server.lock().lives.len() > 1)
+        let servers = self.deployment.servers.iter().enumerate();
+        let restarted: Vec<usize> = servers
+            .filter(|(_, server)| server.lock().instances.len() > 1)
             .map(|(server, _)| server)
             .collect();
-        for server in reborn {
+        for server in restarted {
             let before = arrived(self, server);
             if !self.wait(|run| arrived(run, server) > before) {
-                let what = format!("server {server} gets nothing in its last life");
-                self.checks.note(BrokenPromise::NotRecovered(what));
+                let what = format!("server {server} receives no request in its last instance");
+                self.checks.record(BrokenPromise::NotRecovered(what));
             }
         }
     }
 
-    /// Lets the first server leave: after a while, nothing more may reach it.
+    /// Drains the first server; after `DRAIN_BOUND`, no request may reach it.
     fn check_drain(&mut self) {
-        self.world.drain(0);
+        self.deployment.drain(0);
         let until = Instant::now() + DRAIN_BOUND;
         let runs = |run: &Self| {
-            let state = run.world.servers[0].lock();
-            state.lives.last().map_or(0, |life| life.runs_from(0).len())
+            let state = run.deployment.servers[0].lock();
+            state
+                .instances
+                .last()
+                .map_or(0, |instance| instance.runs_from(0).len())
         };
         loop {
             let before = runs(self);
@@ -461,7 +469,7 @@
             }
             if Instant::now() > until {
                 let what = format!("{} runs in the last second", after - before);
-                self.checks.note(BrokenPromise::SentAfterDrain(what));
+                self.checks.record(BrokenPromise::SentAfterDrain(what));
                 return;
             }
         }
@@ -470,8 +478,8 @@
     fn wait(&mut self, mut done: impl FnMut(&mut Self) -> bool) -> bool {
         let until = Instant::now() + RECOVERY;
         while !done(self) {
-            // A gateway that was told to stop may end only now.
-            if Instant::now() > until || self.look_after_vms(&[]).is_err() {
+            // A gateway that was told to shut down may end only now.
+            if Instant::now() > until || self.reap_vms(&[]).is_err() {
                 return false;
             }
             thread::sleep(STEP);
@@ -480,7 +488,7 @@
     }
 }
 
-/// What a fault disturbs, as far as that excuses.
+/// The part whose disturbance by a fault excuses a VM from obeying a signal.
 fn disturbed_part(fault: Fault) -> Option<DisturbedPart> {
     match fault {
         Fault::Pause(vm) | Fault::Suspend(vm, _) => Some(DisturbedPart::Vm(vm)),
@@ -490,17 +498,17 @@
     }
 }
 
-/// Whether two faults set the same thing.
+/// Whether two faults change the same property of the same target.
 fn is_same_target(a: Fault, b: Fault) -> bool {
     match (a, b) {
         (Fault::Pause(a) | Fault::Suspend(a, _), Fault::Pause(b) | Fault::Suspend(b, _))
         | (Fault::StoreLink(a, _), Fault::StoreLink(b, _))
         | (Fault::CallerLink(a, _), Fault::CallerLink(b, _))
         | (Fault::ServerLink(a, _), Fault::ServerLink(b, _))
-        | (Fault::Leave(a, _), Fault::Leave(b, _))
-        | (Fault::Rest(a, _), Fault::Rest(b, _))
+        | (Fault::SignalDrain(a, _), Fault::SignalDrain(b, _))
+        | (Fault::Backoff(a, _), Fault::Backoff(b, _))
         | (Fault::Limit(a, _), Fault::Limit(b, _))
-        | (Fault::Foreign(a, _), Fault::Foreign(b, _))
+        | (Fault::MalformedEntry(a, _), Fault::MalformedEntry(b, _))
         | (Fault::Server(a, _), Fault::Server(b, _)) => a == b,
         (Fault::Store(_), Fault::Store(_)) | (Fault::Restore, Fault::Restore) => true,
         _ => false,
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -1,12 +1,12 @@
-//! A short run with a fixed seed, and the seeds that ever failed.
+//! Short runs with a fixed seed and with seeds that once failed.
 
 use std::process::Command;
 
 struct SeedCase {
     seed: u64,
-    /// Time with faults, on which the plan of a seed depends.
+    /// Length of the part with faults, on which the plan of a seed depends.
     seconds: &'static str,
-    /// Why the seed is kept.
+    /// The failure that the seed guards against.
     cause: &'static str,
 }
 
@@ -35,8 +35,12 @@
             .args(["--seed", &case.seed.to_string(), "--seconds", case.seconds])
             .output()
             .unwrap();
-        let told = String::from_utf8_lossy(&output.stdout);
+        let stdout = String::from_utf8_lossy(&output.stdout);
         let errors = String::from_utf8_lossy(&output.stderr);
-        assert!(output.status.success(), "{}\n{told}\n{errors}", case.cause);
+        assert!(
+            output.status.success(),
+            "{}\n{stdout}\n{errors}",
+            case.cause
+        );
     }
 }
--- a/crates/try/src/client.rs
+++ b/crates/try/src/client.rs
@@ -1,4 +1,4 @@
-//! A small caller.
+//! An HTTP client that sends one request and reads the complete response.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -18,9 +18,9 @@
     pub(crate) home: Option<&'a str>,
 }
 
-/// What came back.
+/// A response as the caller received it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct TryAnswer {
+pub(crate) struct TryResponse {
     pub(crate) status: u16,
     pub(crate) verdict: String,
     pub(crate) region: String,
@@ -41,8 +41,8 @@
     }
 }
 
-/// Sends a request and reads the whole answer.
-pub(crate) fn send(entry: SocketAddr, request: &TryRequest<'_>) -> Result<TryAnswer, String> {
+/// Sends a request and reads the complete response.
+pub(crate) fn send(entry: SocketAddr, request: &TryRequest<'_>) -> Result<TryResponse, String> {
     let started = Instant::now();
     let agent = ureq::Agent::config_builder()
         .proxy(None)
@@ -64,11 +64,11 @@
             .and_then(|value| value.to_str().ok());
         value.unwrap_or("").to_owned()
     };
-    let mut answer = TryAnswer {
+    let mut received = TryResponse {
         status: response.status().as_u16(),
         verdict: header("onyxfall-verdict"),
         region: header("onyxfall-served-region"),
-        ..TryAnswer::default()
+        ..TryResponse::default()
     };
     let mut reader = response.into_body().into_reader();
     let mut chunk = [0; 4096];
@@ -76,20 +76,20 @@
         match reader.read(&mut chunk) {
             Ok(0) => break,
             Ok(len) => {
-                if answer.chunks == 0 {
-                    answer.first_byte = started.elapsed();
+                if received.chunks == 0 {
+                    received.first_byte = started.elapsed();
                 }
-                answer.chunks += 1;
-                answer
+                received.chunks += 1;
+                received
                     .body
                     .push_str(&String::from_utf8_lossy(&chunk[..len]));
             }
             Err(_) => {
-                answer.broken = true;
+                received.broken = true;
                 break;
             }
         }
     }
-    answer.whole = started.elapsed();
-    Ok(answer)
+    received.whole = started.elapsed();
+    Ok(received)
 }
--- a/crates/try/src/town.rs
+++ b/crates/try/src/deployment.rs
@@ -1,5 +1,5 @@
-//! The deployment of the try-out: two regions, each with an entry and an
-//! engine, a plain service, a platform stand-in and delaying links.
+//! The deployment of the try-out: two regions, each with an entry and an engine, plus a
+//! plain service, a stub of the platform and links with a delay.
 
 use std::fmt::Write as _;
 use std::net::{SocketAddr, TcpListener};
@@ -16,11 +16,11 @@
 use onyxfall_platform::{PlatformClient, PlatformSettings};
 
 const ONE_WAY: Duration = Duration::from_millis(15);
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 const REGIONS: [&str; 2] = ["brisbane", "townsville"];
 
-/// Everything that runs.
-pub(crate) struct TryTown {
+/// The running deployment.
+pub(crate) struct TryDeployment {
     pub(crate) platform: FakePlatform,
     pub(crate) engines: Vec<FakeEngine>,
     pub(crate) service: FakeService,
@@ -28,7 +28,7 @@
     pub(crate) entries: Vec<EntryProcess>,
     secrets: [SigningSecret; 2],
     ring: OperatorRing,
-    /// Held so that they keep forwarding.
+    /// Kept alive so that they keep forwarding.
     links: Vec<FakeLink>,
 }
 
@@ -36,7 +36,7 @@
     TcpListener::bind(format!("127.0.{}.1:0", region + 1)).map_err(|e| e.to_string())
 }
 
-impl TryTown {
+impl TryDeployment {
     pub(crate) fn start() -> Result<Self, String> {
         let text = |e: std::io::Error| e.to_string();
         let platform = FakePlatform::start(listen(0)?).map_err(text)?;
@@ -53,7 +53,7 @@
         let service = FakeService::start(listen(0)?, ServiceSettings::default()).map_err(text)?;
         let rules = LinkRules::new(ONE_WAY);
         let secrets = [SigningSecret::generate(), SigningSecret::generate()];
-        let mut town = Self {
+        let mut deployment = Self {
             platform,
             engines,
             service,
@@ -63,25 +63,25 @@
             secrets,
             links: Vec::new(),
         };
-        town.start_entries()?;
-        let content = town.sign_bundle(1)?;
-        town.roll(content)?;
-        town.wait_versions(1)?;
-        Ok(town)
+        deployment.start_entries()?;
+        let content = deployment.sign_bundle(1)?;
+        deployment.roll(content)?;
+        deployment.wait_versions(1)?;
+        Ok(deployment)
     }
 
     fn start_entries(&mut self) -> Result<(), String> {
-        let mut places = Vec::new();
+        let mut addresses = Vec::new();
         for region in 0..REGIONS.len() {
             let own = free_address(region)?;
             let listener = listen(region)?;
             let link = FakeLink::start(listener, own, Arc::clone(&self.rules));
             let link = link.map_err(|e| e.to_string())?;
-            places.push((own, link.address(), free_address(region)?));
+            addresses.push((own, link.address(), free_address(region)?));
             self.links.push(link);
         }
         for region in 0..REGIONS.len() {
-            let text = self.entry_settings(region, &places);
+            let text = self.entry_settings(region, &addresses);
             let settings = parse_settings("try.ini", &text).map_err(|e| e.to_string())?;
             self.entries
                 .push(EntryProcess::start(settings).map_err(|e| e.to_string())?);
@@ -92,11 +92,11 @@
     fn entry_settings(
         &self,
         region: usize,
-        places: &[(SocketAddr, SocketAddr, SocketAddr)],
+        addresses: &[(SocketAddr, SocketAddr, SocketAddr)],
     ) -> String {
         let name = REGIONS[region];
         let ip = format!("127.0.{}.1", region + 1);
-        let (peers, advertised, callers) = places[region];
+        let (peers, advertised, callers) = addresses[region];
         let mut text = format!(
             "[vm]\nname = {name}-vm\ndata-centre = {name}-1\nregion = {name}\ndeployment = try\n\
              [listen]\ncallers = {callers}\npeers = {peers}\npeers-advertised = {advertised}\n\
@@ -109,7 +109,7 @@
         for (i, secret) in self.secrets.iter().enumerate() {
             let _ = write!(text, "[operator op-{i}]\nkey = {}\n", secret.public());
         }
-        for (other, (_, advertised, callers)) in places.iter().enumerate() {
+        for (other, (_, advertised, callers)) in addresses.iter().enumerate() {
             if other != region {
                 let peer = REGIONS[other];
                 let _ = write!(
@@ -168,7 +168,7 @@
         ))
     }
 
-    /// Proposes an edition of the bundle and has both operators sign it.
+    /// Proposes an edition of the bundle and signs it with both operators' keys.
     pub(crate) fn sign_bundle(&self, edition: u32) -> Result<ContentDigest, String> {
         let text = self.bundle_text(edition);
         let digest = self
@@ -183,8 +183,8 @@
         Ok(digest)
     }
 
-    /// Rolls a content to both regions without waiting for them; returns the
-    /// lower of the two regions' versions.
+    /// Rolls out a content to both regions without waiting for them; returns the lower of
+    /// the two regions' versions.
     pub(crate) fn roll(&self, content: ContentDigest) -> Result<u64, String> {
         let regions = REGIONS
             .iter()
@@ -207,12 +207,12 @@
             .unwrap_or(0))
     }
 
-    /// Drains a server as an operator does.
+    /// Drains a server by an order of an operator.
     pub(crate) fn drain(&self, name: &str) -> Result<(), String> {
         self.operator(1)?.drain(name).map_err(|e| format!("{e:?}"))
     }
 
-    /// Version in force in an entry.
+    /// The version in force in an entry.
     pub(crate) fn version(&self, entry: usize) -> Result<u64, String> {
         let url = format!("http://{}/v1/version", self.entries[entry].caller_address());
         let agent = ureq::Agent::config_builder()
@@ -231,7 +231,7 @@
             .ok_or_else(|| "no version".to_owned())
     }
 
-    /// Waits until both entries have at least a version.
+    /// Waits until both entries have at least `version` in force.
     pub(crate) fn wait_versions(&self, version: u64) -> Result<(), String> {
         wait_until("both regions at the version", || {
             (0..self.entries.len()).all(|entry| self.version(entry).is_ok_and(|v| v >= version))
@@ -254,14 +254,14 @@
     listen(region)?.local_addr().map_err(|e| e.to_string())
 }
 
-/// Polls `test` until it holds.
+/// Polls `test` until it returns true.
 pub(crate) fn wait_until(what: &str, test: impl Fn() -> bool) -> Result<(), String> {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < until {
         if test() {
             return Ok(());
         }
         thread::sleep(Duration::from_millis(50));
     }
-    Err(format!("waited {PATIENCE:?} in vain: {what}"))
+    Err(format!("timed out after {WAIT_TIMEOUT:?}: {what}"))
 }
--- a/crates/try/src/main.rs
+++ b/crates/try/src/main.rs
@@ -1,25 +1,25 @@
-//! The `onyxfall-try` program: two regions, their stand-ins and entries in one
-//! process, real requests over loopback. Each step checks what it prints; the
-//! program exits 0 only if every check held.
+//! The `onyxfall-try` program: runs two regions with their stubs and entries in one
+//! process, and sends real requests over loopback. Each step checks the results that it
+//! prints; the program exits with 0 only if every check passed.
 
 mod client;
+mod deployment;
 mod steps;
-mod town;
 
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    let mut town = match town::TryTown::start() {
-        Ok(town) => town,
+    let mut deployment = match deployment::TryDeployment::start() {
+        Ok(deployment) => deployment,
         Err(e) => {
-            eprintln!("could not start: {e}");
+            eprintln!("cannot start the deployment: {e}");
             return ExitCode::from(2);
         }
     };
     let mut failed = 0;
     for step in steps::ALL {
-        match (step.run)(&mut town) {
-            Ok(seen) => println!("ok    {:<28} {seen}", step.name),
+        match (step.run)(&mut deployment) {
+            Ok(result) => println!("ok    {:<28} {result}", step.name),
             Err(e) => {
                 failed += 1;
                 println!("FAIL  {:<28} {e}", step.name);
--- a/crates/try/src/steps.rs
+++ b/crates/try/src/steps.rs
@@ -1,17 +1,17 @@
-//! The steps, each with its check.
+//! The steps of the try-out, each with its checks.
 
 use std::thread;
 use std::time::Duration;
 
 use onyxfall_fakes::PlatformFaults;
 
-use crate::client::{TryAnswer, TryRequest, send};
-use crate::town::{TryTown, wait_until};
+use crate::client::{TryRequest, TryResponse, send};
+use crate::deployment::{TryDeployment, wait_until};
 
-/// One step.
+/// A step of the try-out.
 pub(crate) struct TryStep {
     pub(crate) name: &'static str,
-    pub(crate) run: fn(&mut TryTown) -> Result<String, String>,
+    pub(crate) run: fn(&mut TryDeployment) -> Result<String, String>,
 }
 
 /// All steps, in order.
@@ -22,11 +22,11 @@
     },
     TryStep {
         name: "sent away",
-        run: sent_away,
+        run: forward_remote,
     },
     TryStep {
         name: "residency refusal",
-        run: residency_refusal,
+        run: reject_by_residency,
     },
     TryStep {
         name: "plain service",
@@ -57,41 +57,41 @@
     }
 }
 
-fn check(holds: bool, what: &str, answer: &TryAnswer) -> Result<(), String> {
-    if holds {
+fn check(passed: bool, what: &str, response: &TryResponse) -> Result<(), String> {
+    if passed {
         Ok(())
     } else {
-        Err(format!("{what}: {answer:?}"))
+        Err(format!("{what}: {response:?}"))
     }
 }
 
-fn is_whole(answer: &TryAnswer) -> bool {
-    answer.status == 200 && !answer.broken && answer.body.ends_with("data: [DONE]\n\n")
+fn is_whole(response: &TryResponse) -> bool {
+    response.status == 200 && !response.broken && response.body.ends_with("data: [DONE]\n\n")
 }
 
-fn streamed_caption(town: &mut TryTown) -> Result<String, String> {
-    let answer = send(
-        town.entries[0].caller_address(),
+fn streamed_caption(deployment: &mut TryDeployment) -> Result<String, String> {
+    let response = send(
+        deployment.entries[0].caller_address(),
         &caption("a bride and a horse", 8),
     )?;
-    check(is_whole(&answer), "a whole stream", &answer)?;
-    check(answer.verdict == "ran", "verdict ran", &answer)?;
-    check(answer.chunks >= 4, "chunks one by one", &answer)?;
+    check(is_whole(&response), "a whole stream", &response)?;
+    check(response.verdict == "ran", "verdict ran", &response)?;
+    check(response.chunks >= 4, "chunks one by one", &response)?;
     check(
-        answer.first_byte * 2 < answer.whole,
+        response.first_byte * 2 < response.whole,
         "first byte early",
-        &answer,
+        &response,
     )?;
     Ok(format!(
         "{} chunks, first byte after {} ms, whole after {} ms",
-        answer.chunks,
-        answer.first_byte.as_millis(),
-        answer.whole.as_millis()
+        response.chunks,
+        response.first_byte.as_millis(),
+        response.whole.as_millis()
     ))
 }
 
-fn burst(town: &TryTown, count: usize) -> Result<Vec<TryAnswer>, String> {
-    let entry = town.entries[0].caller_address();
+fn burst(deployment: &TryDeployment, count: usize) -> Result<Vec<TryResponse>, String> {
+    let entry = deployment.entries[0].caller_address();
     let sent = |i: usize| move || send(entry, &caption(&format!("album {i}"), 16));
     thread::scope(|scope| {
         let threads: Vec<_> = (0..count).map(|i| scope.spawn(sent(i))).collect();
@@ -102,23 +102,23 @@
     })
 }
 
-fn sent_away(town: &mut TryTown) -> Result<String, String> {
-    let answers = burst(town, 8)?;
-    for answer in &answers {
-        check(is_whole(answer), "a whole stream", answer)?;
+fn forward_remote(deployment: &mut TryDeployment) -> Result<String, String> {
+    let responses = burst(deployment, 8)?;
+    for response in &responses {
+        check(is_whole(response), "a whole stream", response)?;
     }
-    let away = answers
+    let remote = responses
         .iter()
-        .filter(|answer| answer.region == "townsville")
+        .filter(|response| response.region == "townsville")
         .count();
-    check(away > 0, "some served in townsville", &answers[0])?;
+    check(remote > 0, "some served in townsville", &responses[0])?;
     Ok(format!(
-        "{away} of {} captions served in townsville",
-        answers.len()
+        "{remote} of {} captions served in townsville",
+        responses.len()
     ))
 }
 
-fn residency_refusal(town: &mut TryTown) -> Result<String, String> {
+fn reject_by_residency(deployment: &mut TryDeployment) -> Result<String, String> {
     let path = "/v1/requests/home-caption";
     let request = TryRequest {
         path,
@@ -127,15 +127,19 @@
         stream: false,
         home: Some("townsville"),
     };
-    let before = total_runs(town);
-    let refused = send(town.entries[0].caller_address(), &request)?;
+    let before = total_runs(deployment);
+    let rejected = send(deployment.entries[0].caller_address(), &request)?;
     check(
-        refused.status == 421 && refused.verdict == "not-run",
+        rejected.status == 421 && rejected.verdict == "not-run",
         "refused not-run",
-        &refused,
+        &rejected,
     )?;
-    check(total_runs(town) == before, "no engine ran it", &refused)?;
-    let served = send(town.entries[1].caller_address(), &request)?;
+    check(
+        total_runs(deployment) == before,
+        "no engine ran it",
+        &rejected,
+    )?;
+    let served = send(deployment.entries[1].caller_address(), &request)?;
     check(
         served.status == 200 && served.region == "townsville",
         "served at home",
@@ -144,14 +148,15 @@
     Ok("421 not-run in brisbane, served at home in townsville".to_owned())
 }
 
-fn total_runs(town: &TryTown) -> u64 {
-    town.engines
+fn total_runs(deployment: &TryDeployment) -> u64 {
+    deployment
+        .engines
         .iter()
         .map(|engine| engine.runs().values().sum::<u64>())
         .sum()
 }
 
-fn plain_service(town: &mut TryTown) -> Result<String, String> {
+fn plain_service(deployment: &mut TryDeployment) -> Result<String, String> {
     let path = "/v1/services/proof-fetch/proofs/17";
     let request = TryRequest {
         path,
@@ -160,67 +165,71 @@
         stream: false,
         home: None,
     };
-    let answer = send(town.entries[0].caller_address(), &request)?;
+    let response = send(deployment.entries[0].caller_address(), &request)?;
     check(
-        answer.status == 200 && answer.verdict == "ran",
+        response.status == 200 && response.verdict == "ran",
         "served",
-        &answer,
+        &response,
     )?;
-    let counts: Vec<u64> = town.service.runs().values().copied().collect();
-    check(counts == [1], "ran once", &answer)?;
+    let counts: Vec<u64> = deployment.service.runs().values().copied().collect();
+    check(counts == [1], "ran once", &response)?;
     Ok("one proof fetch, counted once by the service".to_owned())
 }
 
-fn cut_off(town: &mut TryTown) -> Result<String, String> {
-    town.rules.set_cut(1, 2, true);
-    town.platform.set_faults(PlatformFaults {
+fn cut_off(deployment: &mut TryDeployment) -> Result<String, String> {
+    deployment.rules.set_cut(1, 2, true);
+    deployment.platform.set_faults(PlatformFaults {
         outage: true,
         ..PlatformFaults::default()
     });
-    let answers = burst(town, 4)?;
-    for answer in &answers {
+    let responses = burst(deployment, 4)?;
+    for response in &responses {
         check(
-            is_whole(answer) && answer.region == "brisbane",
+            is_whole(response) && response.region == "brisbane",
             "served at home",
-            answer,
+            response,
         )?;
     }
     Ok(format!(
         "{} captions served with platform and other region cut off",
-        answers.len()
+        responses.len()
     ))
 }
 
-fn rejoin(town: &mut TryTown) -> Result<String, String> {
-    let before = town.version(0)?;
-    town.platform.set_faults(PlatformFaults::default());
-    let content = town.sign_bundle(2)?;
-    let version = town.roll(content)?;
-    town.rules.set_cut(1, 2, false);
-    town.wait_versions(version)?;
-    let answer = send(town.entries[0].caller_address(), &caption("after", 4))?;
-    check(is_whole(&answer), "served under the newer bundle", &answer)?;
+fn rejoin(deployment: &mut TryDeployment) -> Result<String, String> {
+    let before = deployment.version(0)?;
+    deployment.platform.set_faults(PlatformFaults::default());
+    let content = deployment.sign_bundle(2)?;
+    let version = deployment.roll(content)?;
+    deployment.rules.set_cut(1, 2, false);
+    deployment.wait_versions(version)?;
+    let response = send(deployment.entries[0].caller_address(), &caption("after", 4))?;
+    check(
+        is_whole(&response),
+        "served under the newer bundle",
+        &response,
+    )?;
     Ok(format!(
         "from v{before} to v{} in both regions",
-        town.version(0)?
+        deployment.version(0)?
     ))
 }
 
-fn drain(town: &mut TryTown) -> Result<String, String> {
-    let entry = town.entries[0].caller_address();
+fn drain(deployment: &mut TryDeployment) -> Result<String, String> {
+    let entry = deployment.entries[0].caller_address();
     let open = thread::spawn(move || send(entry, &caption("a long album", 80)));
-    let engine = &town.engines[0];
+    let engine = &deployment.engines[0];
     let before: u64 = engine.runs().values().sum();
     wait_until("the stream is open", || {
         engine.runs().values().sum::<u64>() > before
     })?;
-    town.drain("brisbane-engine")?;
+    deployment.drain("brisbane-engine")?;
     let probe = |i: usize| send(entry, &caption(&format!("probe {i}"), 2));
     let mut moved = 0;
     for i in 0..40 {
-        let answer = probe(i)?;
-        check(is_whole(&answer), "served while draining", &answer)?;
-        moved = if answer.region == "townsville" {
+        let response = probe(i)?;
+        check(is_whole(&response), "served while draining", &response)?;
+        moved = if response.region == "townsville" {
             moved + 1
         } else {
             0
@@ -230,15 +239,15 @@
         }
         thread::sleep(Duration::from_millis(50));
     }
-    let answer = open.join().map_err(|_| "a caller panicked".to_owned())??;
+    let response = open.join().map_err(|_| "a caller panicked".to_owned())??;
     check(
-        is_whole(&answer) && answer.region == "brisbane",
+        is_whole(&response) && response.region == "brisbane",
         "the open stream ended whole",
-        &answer,
+        &response,
     )?;
-    check(moved == 5, "new work goes elsewhere", &answer)?;
+    check(moved == 5, "new work goes elsewhere", &response)?;
     Ok(format!(
         "open stream of {} chunks ended whole, new work went to townsville",
-        answer.chunks
+        response.chunks
     ))
 }
