--- a/crates/bundle/src/canonical.rs
+++ b/crates/bundle/src/canonical.rs
@@ -1,7 +1,7 @@
-//! The canonical text of a bundle and the digest of it.
+//! Canonical text of a bundle, and the SHA-256 digest of that text.
 //!
 //! Invariant: two files with the same sections, keys and values have the same
-//! digest, whatever their order, blanks and comments.
+//! digest, regardless of order, whitespace and comments.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,18 +14,18 @@
 /// Length of a digest in bytes.
 const DIGEST_LEN: usize = 32;
 
-/// SHA-256 of a bundle's canonical text, shown as 64 hexadecimal digits.
+/// SHA-256 of a bundle's canonical text, formatted as 64 hexadecimal digits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ContentDigest([u8; DIGEST_LEN]);
 
 impl ContentDigest {
-    /// Digest of a canonical text.
+    /// Computes the digest of a canonical text.
     pub fn of(canonical: &str) -> Self {
         Self(Sha256::digest(canonical.as_bytes()).into())
     }
 
-    /// First twelve digits, for people.
+    /// First twelve hexadecimal digits, for display.
     pub fn short(&self) -> String {
         hex::encode(&self.0[..6])
     }
@@ -43,7 +43,7 @@
     }
 }
 
-/// A text that is not a digest.
+/// Error for a text that is not a valid digest.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{0}` is not a content digest: expected 64 hexadecimal digits")]
 pub struct DigestError(String);
@@ -72,7 +72,7 @@
     }
 }
 
-/// Writes a document with sections and keys sorted and blanks folded.
+/// Serializes a document with sections and keys sorted and surrounding whitespace removed.
 ///
 /// ```
 /// use onyxfall_bundle::canonical_text;
--- a/crates/bundle/src/head.rs
+++ b/crates/bundle/src/head.rs
@@ -1,14 +1,14 @@
-//! The head: the one mutable record of what is in force where.
+//! The head: the single mutable record of which content is in force in which region.
 //!
-//! [`change_head`] is the only way from one head to the next, and is pure: a
-//! command computes the next head from the one that it read and writes it by
-//! compare-and-swap. An operation that finds its own id in the head has already
-//! happened, so repeating a command is safe and a lost answer is resolved by
-//! reading.
+//! [`change_head`] is the only way to derive a new head, and is a pure function:
+//! a command computes the next head from the one that it read and writes it by
+//! compare-and-swap. The head lists the ids of recent operations. A command that
+//! finds its own id there has already been applied, so commands can be retried
+//! safely, and a lost response is resolved by reading the head again.
 //!
-//! Invariants: the version grows by one with every change; a region's version
-//! never falls; while a rollout is open, only its operation, or a withdrawal,
-//! changes a region.
+//! Invariants: the version increases by one with every change; a region's
+//! version never decreases; while a rollout is open, only its operation, or a
+//! withdrawal, changes a region.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -21,16 +21,16 @@
 use crate::sign::{OperatorRing, SignatureText, SigningSecret};
 use crate::version::BundleVersion;
 
-/// How many past operations a head remembers.
-const OPERATION_LOG: usize = 32;
+/// Number of recent operation ids that a head keeps.
+const MAX_OPERATIONS: usize = 32;
 
-/// Names one run of an operator's command.
+/// Unique id of one run of an operator's command.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct OperationId(String);
 
 impl OperationId {
-    /// Wraps a text that the operator's program made unique.
+    /// Wraps a text; the operator's program ensures that it is unique.
     pub fn new(text: impl Into<String>) -> Self {
         Self(text.into())
     }
@@ -42,20 +42,20 @@
     }
 }
 
-/// Proof that a content was rolled to a region under a version.
+/// Signed proof that a content was rolled out to a region under a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionRecord {
-    /// The region.
+    /// Region that the record applies to.
     pub region: RegionName,
     /// Version under which the content is in force.
     pub version: BundleVersion,
-    /// The content.
+    /// Digest of the content in force.
     pub content: ContentDigest,
-    /// The content before, to which a withdrawal goes back.
+    /// Previous content, which a withdrawal restores.
     pub former: Option<ContentDigest>,
-    /// Operator who rolled it.
+    /// Operator who rolled the content out.
     pub operator: OperatorName,
-    /// That operator's signature over region, version and content.
+    /// Signature of `operator` over region, version and content.
     pub signature: SignatureText,
 }
 
@@ -68,109 +68,112 @@
         format!("onyxfall-roll-v1\n{region}\n{version}\n{content}\n")
     }
 
-    /// Whether the signature is by a known operator.
+    /// Whether `signature` is a valid signature of `operator` by a key in `ring`.
     pub fn verify(&self, ring: &OperatorRing) -> bool {
         let text = Self::signing_text(&self.region, self.version, &self.content);
         ring.verifies(&self.operator, &text, &self.signature)
     }
 }
 
-/// A rollout that is under way.
+/// A rollout in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenRollout {
-    /// Operation that opened it.
+    /// Operation that opened the rollout.
     pub operation: OperationId,
-    /// Operator who opened it.
+    /// Operator who opened the rollout.
     pub operator: OperatorName,
-    /// Content that it rolls.
+    /// Content to roll out.
     pub content: ContentDigest,
-    /// Regions still to come, in order.
+    /// Regions that do not have the content yet, in rollout order.
     pub remaining: VecDeque<RegionName>,
 }
 
-/// What is in force where.
+/// Content in force per region, and the rollout in progress.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeadRecord {
     /// Version of the last change.
     pub version: BundleVersion,
-    /// Record of each region.
+    /// Current record of each region.
     pub regions: BTreeMap<RegionName, RegionRecord>,
-    /// Rollout under way.
+    /// Rollout in progress, if any.
     pub rollout: Option<OpenRollout>,
-    /// Last operations, oldest first.
+    /// Ids of recent operations, oldest first.
     pub operations: VecDeque<OperationId>,
 }
 
 impl HeadRecord {
-    /// Whether the operation is among those remembered.
+    /// Whether `operation` is among the recent operations.
     pub fn has_operation(&self, operation: &OperationId) -> bool {
         self.operations.contains(operation)
     }
 }
 
-/// One change of the head.
+/// A change to the head.
 #[derive(Clone, Debug)]
 pub enum HeadChange {
     /// Opens a rollout of `content` to `regions`, in order.
     Open {
-        /// Content to roll.
+        /// Content to roll out.
         content: ContentDigest,
-        /// Regions in order.
+        /// Regions in rollout order.
         regions: VecDeque<RegionName>,
     },
-    /// Brings the open rollout's content into force in its next region.
+    /// Puts the open rollout's content in force in its next region.
     Step {
         /// Operation that opened the rollout.
         rollout: OperationId,
     },
-    /// Goes back to the former content wherever `content` is in force or under way.
+    /// Restores the previous content in every region where `content` is in
+    /// force, and closes an open rollout of `content`.
     Withdraw {
         /// Content to withdraw.
         content: ContentDigest,
     },
 }
 
-/// Why a change was refused; the head is then unchanged.
+/// Reason for which a change was rejected; the head is then unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum HeadError {
     /// Another rollout is open.
-    #[error("{operator} is rolling {content} ({operation}); wait for it or withdraw it")]
+    #[error(
+        "{operator} is rolling out {content} ({operation}); wait for it to finish or withdraw it"
+    )]
     RolloutOpen {
-        /// Operation that won.
+        /// Operation that opened the other rollout.
         operation: OperationId,
-        /// Operator who won.
+        /// Operator who opened the other rollout.
         operator: OperatorName,
-        /// Content that won.
+        /// Content of the other rollout.
         content: ContentDigest,
     },
-    /// The operation's own rollout is gone: withdrawn, or finished.
+    /// The rollout to advance is not open: it was withdrawn or has finished.
     #[error("rollout {operation} is no longer open")]
-    RolloutGone {
-        /// The operation.
+    RolloutClosed {
+        /// Operation that opened the rollout.
         operation: OperationId,
     },
-    /// Nothing to withdraw.
-    #[error("{content} is in force in no region")]
+    /// The content to withdraw is neither in force nor being rolled out.
+    #[error("{content} is not in force in any region")]
     NotInForce {
-        /// The content.
+        /// Content to withdraw.
         content: ContentDigest,
     },
-    /// The content was the first of a region: there is nothing to go back to.
-    #[error("region {region} has no former content to go back to")]
-    NoFormer {
-        /// The region.
+    /// The content to withdraw is the first of a region, so there is none to restore.
+    #[error("region {region} has no former content to restore")]
+    NoFormerContent {
+        /// Region without a former content.
         region: RegionName,
     },
-    /// A rollout names no region.
+    /// The list of regions of a rollout is empty.
     #[error("a rollout needs at least one region")]
     NoRegion,
 }
 
-/// Computes the head after `change`.
+/// Computes the head that results from applying `change` to `head`.
 ///
 /// # Errors
 ///
-/// The change is not allowed from `head`; see [`HeadError`].
+/// The change is not allowed in the state of `head`; see [`HeadError`].
 ///
 /// ```
 /// use onyxfall_bundle::*;
@@ -203,7 +206,7 @@
         HeadChange::Step { rollout } => step_rollout(&mut next, rollout, operator, secret)?,
         HeadChange::Withdraw { content } => withdraw(&mut next, *content, operator, secret)?,
     }
-    remember(&mut next, operation);
+    record_operation(&mut next, operation);
     Ok(next)
 }
 
@@ -239,16 +242,16 @@
     operator: &OperatorName,
     secret: &SigningSecret,
 ) -> Result<(), HeadError> {
-    let gone = || HeadError::RolloutGone {
+    let closed_error = || HeadError::RolloutClosed {
         operation: operation.clone(),
     };
     let rollout = head
         .rollout
         .as_mut()
         .filter(|open| open.operation == *operation);
-    let rollout = rollout.ok_or_else(gone)?;
+    let rollout = rollout.ok_or_else(closed_error)?;
     let content = rollout.content;
-    let region = rollout.remaining.pop_front().ok_or_else(gone)?;
+    let region = rollout.remaining.pop_front().ok_or_else(closed_error)?;
     if rollout.remaining.is_empty() {
         head.rollout = None;
     }
@@ -262,11 +265,11 @@
     operator: &OperatorName,
     secret: &SigningSecret,
 ) -> Result<(), HeadError> {
-    let was_rolling = head
+    let was_open = head
         .rollout
         .as_ref()
         .is_some_and(|open| open.content == content);
-    if was_rolling {
+    if was_open {
         head.rollout = None;
     }
     let affected: Vec<RegionRecord> = head
@@ -275,12 +278,12 @@
         .filter(|record| record.content == content)
         .cloned()
         .collect();
-    if affected.is_empty() && !was_rolling {
+    if affected.is_empty() && !was_open {
         return Err(HeadError::NotInForce { content });
     }
     for record in affected {
         let region = record.region;
-        let former = record.former.ok_or(HeadError::NoFormer {
+        let former = record.former.ok_or(HeadError::NoFormerContent {
             region: region.clone(),
         })?;
         set_region(head, region, former, operator, secret);
@@ -295,9 +298,9 @@
     operator: &OperatorName,
     secret: &SigningSecret,
 ) {
-    let before = head.regions.get(&region);
-    debug_assert!(before.is_none_or(|record| record.version < head.version));
-    let former = match before {
+    let previous = head.regions.get(&region);
+    debug_assert!(previous.is_none_or(|record| record.version < head.version));
+    let former = match previous {
         Some(record) if record.content == content => record.former,
         Some(record) => Some(record.content),
         None => None,
@@ -314,12 +317,12 @@
     head.regions.insert(region, record);
 }
 
-fn remember(head: &mut HeadRecord, operation: &OperationId) {
+fn record_operation(head: &mut HeadRecord, operation: &OperationId) {
     if head.has_operation(operation) {
         return;
     }
     head.operations.push_back(operation.clone());
-    if head.operations.len() > OPERATION_LOG {
+    if head.operations.len() > MAX_OPERATIONS {
         head.operations.pop_front();
     }
 }
--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -1,13 +1,15 @@
-//! Bundles: the operators' declaration of what the system serves and how.
+//! Bundles: the operators' declaration of regions, servers, models, request
+//! kinds and team limits.
 //!
 //! A bundle is an INI text. [`parse_bundle`] turns it into a [`ServiceBundle`]
-//! with dense ids, and [`verify_bundle`] (apart from the parser) names every
-//! rule that it breaks. Its [`ContentDigest`] is taken over [`canonical_text`],
-//! so that comments and order do not count.
+//! with dense ids. [`verify_bundle`] is independent of the parser and reports
+//! every rule that the bundle violates. The [`ContentDigest`] is computed over
+//! [`canonical_text`], so comments and order do not affect it.
 //!
-//! Signatures and the version order live here too, free of I/O: a
-//! [`RegionRecord`] proves by itself that a version of a content was rolled to
-//! a region by a known operator, and [`VersionGate`] never goes back.
+//! This crate also defines signatures and the order of versions, without I/O.
+//! A [`RegionRecord`] is self-contained proof that a known operator rolled a
+//! content out to a region under a version. [`VersionGate`] accepts only
+//! increasing versions.
 
 mod canonical;
 mod head;
--- a/crates/bundle/src/model.rs
+++ b/crates/bundle/src/model.rs
@@ -1,4 +1,4 @@
-//! What a bundle declares, with dense ids in place of names.
+//! Data model of a bundle: its declarations, with dense ids in place of names.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -11,20 +11,20 @@
     RegionName, RequestRate, ServerId, ServerName, TeamId, TeamName,
 };
 
-/// How much each measure counts when options are compared; none is negative.
+/// Weights of the terms of the routing objective; none is negative.
 ///
-/// All three turn into one unit, milliseconds of expected completion.
+/// All three terms are expressed in one unit, milliseconds of expected completion time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ObjectiveWeights {
-    /// Weight of work that a choice adds (cold prefixes, transfers).
+    /// Weight of the additional work that a choice causes (cold prefixes, transfers).
     pub cost: f64,
-    /// Weight of expected time to completion.
+    /// Weight of the expected time to completion.
     pub tail: f64,
-    /// Weight of leaving the home region.
+    /// Weight of serving a request outside its home region.
     pub away: f64,
 }
 
-/// A region and its data centres.
+/// A region; its data centres refer to it by id.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceRegion {
     /// Name, unique in the bundle.
@@ -36,29 +36,29 @@
 pub struct DataCenter {
     /// Name, unique in the bundle.
     pub name: CenterName,
-    /// Region that it stands in.
+    /// Region that contains the data centre.
     pub region: RegionId,
 }
 
-/// What a backend server is.
+/// Type of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerRole {
-    /// A model engine.
+    /// An inference engine that serves models.
     Engine,
-    /// A plain service.
+    /// A plain HTTP service.
     Service,
 }
 
-/// A model, or a plain service that is routed to like one.
+/// A model, or a plain service; requests are routed to both in the same way.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServedModel {
     /// Name, unique in the bundle.
     pub name: ModelName,
-    /// What serves it.
+    /// Type of the servers that serve the model.
     pub role: ServerRole,
-    /// Version that engines are ordered to load; empty for services.
+    /// Version that engines are instructed to load; empty for services.
     pub version: String,
-    /// HTTP statuses by which its servers say that a request was not run.
+    /// HTTP statuses with which its servers report that a request was not run.
     pub refusals: Vec<u16>,
 }
 
@@ -67,9 +67,9 @@
 pub struct ModelAdapter {
     /// Name, unique in the bundle.
     pub name: AdapterName,
-    /// Model that it adapts.
+    /// Base model of the adapter.
     pub model: ModelId,
-    /// Version that engines are ordered to load.
+    /// Version that engines are instructed to load.
     pub version: String,
 }
 
@@ -78,24 +78,24 @@
 pub struct BackendServer {
     /// Name, unique in the bundle.
     pub name: ServerName,
-    /// Data centre that it stands in.
+    /// Data centre that contains the server.
     pub center: CenterId,
     /// Address of its HTTP port.
     pub address: SocketAddr,
-    /// Models (or the plain services) that it serves.
+    /// Models, or plain services, that the server serves.
     pub models: Vec<ModelId>,
-    /// Requests that it works on at once.
+    /// Maximum number of requests that the server runs concurrently.
     pub slots: u32,
-    /// Whether it checks the fencing token of an order.
+    /// Whether the server checks the fencing token of an order.
     pub checks_token: bool,
 }
 
-/// Whether requests of a kind may be served away from where they arrived.
+/// Whether requests of a kind may be forwarded from where they arrived to another place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AwayRule {
-    /// Only where they arrived.
+    /// Requests are served only where they arrived.
     Never,
-    /// Anywhere that the residency limit allows.
+    /// Requests may be served wherever the residency rule allows.
     Allowed,
 }
 
@@ -111,41 +111,41 @@
     }
 }
 
-/// Where the data of a kind may live.
+/// Regions in which the data of a request kind may be processed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResidencyRule {
-    /// In every region of the bundle.
+    /// Every region of the bundle.
     Anywhere,
-    /// Only in the home region that the caller names.
+    /// Only the home region that the caller specifies.
     Home,
-    /// In these regions.
+    /// Only the listed regions.
     Regions(Vec<RegionId>),
 }
 
-/// A request kind.
+/// A kind of request, with its routing and timing parameters.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestKind {
     /// Name, unique in the bundle.
     pub name: KindName,
-    /// Model or plain service that serves it.
+    /// Model or plain service that serves requests of this kind.
     pub model: ModelId,
-    /// How much a completed request counts.
+    /// Value of a completed request relative to other kinds.
     pub weight: f64,
-    /// Whether it may run more than once.
+    /// Whether a request of this kind may run more than once.
     pub repeatable: bool,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub streaming: bool,
-    /// Time from arrival to the last byte.
+    /// Maximum time from arrival to the last byte of the response.
     pub deadline: Duration,
     /// Service time on an idle server with a cold cache.
     pub service_time: Duration,
-    /// Part of the service time that a cached prefix saves, 0 to 1.
+    /// Fraction of the service time that a cached prefix saves, 0 to 1.
     pub prefix_share: f64,
-    /// Priority handed to engines; smaller runs first.
+    /// Priority passed to engines; lower values run first.
     pub priority: u8,
-    /// Whether it may be served away.
+    /// Whether requests of this kind may be forwarded.
     pub away: AwayRule,
-    /// Where its data may live.
+    /// Regions in which its data may be processed.
     pub residency: ResidencyRule,
 }
 
@@ -154,22 +154,22 @@
 pub struct TeamLimit {
     /// Name, unique in the bundle.
     pub name: TeamName,
-    /// Sustained rate over all entry VMs of a data centre.
+    /// Sustained request rate, summed over all entry VMs of a data centre.
     pub rate: RequestRate,
-    /// Requests that may come at once.
+    /// Maximum number of requests in a burst.
     pub burst: u32,
 }
 
-/// Everything that one bundle declares.
+/// All declarations of a bundle.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceBundle {
     /// Name of the deployment.
     pub name: String,
-    /// Weights of the deployment's measures.
+    /// Weights of the routing objective.
     pub objective: ObjectiveWeights,
-    /// Round trip between data centres of one region, until measured.
+    /// Round-trip time between data centres of one region, used until one is measured.
     pub center_rtt: Duration,
-    /// Round trip between regions, until measured.
+    /// Round-trip time between regions, used until one is measured.
     pub region_rtt: Duration,
     /// Regions.
     pub regions: EntityMap<RegionId, ServiceRegion>,
@@ -191,8 +191,9 @@
 
 /// Ids by name, for the tables that are large or looked up for each request.
 ///
-/// Invariant: built from the tables once they are complete; of two entries of
-/// one name (a fault that the verifier reports) the later one is found.
+/// Invariant: the index is built once the tables are complete. If two entries
+/// have the same name, which the verifier reports as a fault, the index holds
+/// the later one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NameIndex {
     servers: HashMap<ServerName, ServerId>,
@@ -201,7 +202,7 @@
 }
 
 impl NameIndex {
-    /// Builds the index of complete tables.
+    /// Builds the index; the tables must be complete.
     pub fn new(
         servers: &EntityMap<ServerId, BackendServer>,
         kinds: &EntityMap<KindId, RequestKind>,
@@ -227,25 +228,25 @@
 impl ServiceBundle {
     /// Id of the region called `name`.
     pub fn region_id(&self, name: &str) -> Option<RegionId> {
-        find(&self.regions, |region| region.name.as_str() == name)
+        find_id(&self.regions, |region| region.name.as_str() == name)
     }
 
     /// Id of the data centre called `name`.
     pub fn center_id(&self, name: &str) -> Option<CenterId> {
-        find(&self.centers, |center| center.name.as_str() == name)
+        find_id(&self.centers, |center| center.name.as_str() == name)
     }
 
     /// Id of the model or plain service called `name`.
     pub fn model_id(&self, name: &str) -> Option<ModelId> {
-        find(&self.models, |model| model.name.as_str() == name)
+        find_id(&self.models, |model| model.name.as_str() == name)
     }
 
-    /// Id of the server called `name`.
+    /// Id of the backend server called `name`.
     pub fn server_id(&self, name: &str) -> Option<ServerId> {
         self.index.servers.get(name).copied()
     }
 
-    /// Id of the kind called `name`.
+    /// Id of the request kind called `name`.
     pub fn kind_id(&self, name: &str) -> Option<KindId> {
         self.index.kinds.get(name).copied()
     }
@@ -256,15 +257,17 @@
     }
 }
 
-fn find<K: onyxfall_types::EntityId, V>(
+fn find_id<K: onyxfall_types::EntityId, V>(
     map: &EntityMap<K, V>,
-    test: impl Fn(&V) -> bool,
+    matches: impl Fn(&V) -> bool,
 ) -> Option<K> {
-    map.iter().find(|(_, value)| test(value)).map(|(id, _)| id)
+    map.iter()
+        .find(|(_, value)| matches(value))
+        .map(|(id, _)| id)
 }
 
 impl fmt::Display for ServiceBundle {
-    /// A one-line summary for people.
+    /// Writes a one-line summary for display.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
--- a/crates/bundle/src/parse.rs
+++ b/crates/bundle/src/parse.rs
@@ -1,7 +1,8 @@
-//! From an INI document to a [`ServiceBundle`].
+//! Parses an INI document into a [`ServiceBundle`].
 //!
-//! The parser checks shape: types, missing and unknown keys, dangling names.
-//! Rules between declarations are the verifier's.
+//! The parser checks the form of each declaration: value types, missing and
+//! unknown keys, and references to undeclared names. The verifier checks the
+//! rules between declarations.
 
 use std::time::Duration;
 
@@ -37,11 +38,11 @@
 const DEFAULT_BURST: u32 = 10;
 const MAX_SLOTS: u32 = 4096;
 
-/// Reads a bundle out of a document.
+/// Parses a bundle from a document.
 ///
 /// # Errors
 ///
-/// Every fault of shape, each with its line.
+/// All faults in the form of the declarations, each with its line number.
 ///
 /// ```
 /// use onyxfall_bundle::parse_bundle;
@@ -53,7 +54,7 @@
 pub fn parse_bundle(document: &IniDocument) -> Result<ServiceBundle, SettingsError> {
     let mut faults = FaultList::new();
     document.check_headers(SECTION_KINDS, &mut faults);
-    let mut bundle = read_general(document, &mut faults);
+    let mut bundle = read_bundle_section(document, &mut faults);
     read_regions(document, &mut bundle, &mut faults);
     read_models(document, &mut bundle, &mut faults);
     read_servers(document, &mut bundle, &mut faults);
@@ -64,7 +65,7 @@
     Ok(bundle)
 }
 
-fn read_general(document: &IniDocument, faults: &mut FaultList) -> ServiceBundle {
+fn read_bundle_section(document: &IniDocument, faults: &mut FaultList) -> ServiceBundle {
     let mut bundle = ServiceBundle {
         name: String::new(),
         objective: ObjectiveWeights {
@@ -108,7 +109,7 @@
     }
     for reader in document.readers("data-centre") {
         let name = reader.name::<CenterName>(faults);
-        let region = reference(&reader, "region", faults, |name| bundle.region_id(name));
+        let region = resolve_name(&reader, "region", faults, |name| bundle.region_id(name));
         if let (Some(name), Some(region)) = (name, region) {
             bundle.centers.push(DataCenter { name, region });
         }
@@ -146,7 +147,7 @@
     }
     for reader in document.readers("adapter") {
         let name = reader.name::<AdapterName>(faults);
-        let model = reference(&reader, "model", faults, |name| bundle.model_id(name));
+        let model = resolve_name(&reader, "model", faults, |name| bundle.model_id(name));
         let version = reader.or_default("version", "1".to_owned(), faults);
         if let (Some(name), Some(model)) = (name, model) {
             bundle.adapters.push(ModelAdapter {
@@ -159,8 +160,10 @@
     }
 }
 
-/// Statuses that mean not-run by the contract of the servers; engines refuse
-/// admission with 503, while a plain service's 503 may come after it ran.
+/// Reads the statuses that mean, by the contract of the servers, that the
+/// request was not run. The default for engines includes 503, with which they
+/// refuse admission. The default for plain services does not, because they may
+/// return 503 after the request ran.
 fn read_refusals(reader: &SectionReader<'_>, default: &[u16], faults: &mut FaultList) -> Vec<u16> {
     if reader.text("refusal-status").is_none() {
         return default.to_vec();
@@ -171,11 +174,11 @@
 fn read_servers(document: &IniDocument, bundle: &mut ServiceBundle, faults: &mut FaultList) {
     for reader in document.readers("server") {
         let name = reader.name::<ServerName>(faults);
-        let center = reference(&reader, "data-centre", faults, |name| {
+        let center = resolve_name(&reader, "data-centre", faults, |name| {
             bundle.center_id(name)
         });
         let address = reader.required("address", faults);
-        let models = references(&reader, "serves", faults, |name| bundle.model_id(name));
+        let models = resolve_names(&reader, "serves", faults, |name| bundle.model_id(name));
         let slots = reader.ranged("slots", DEFAULT_SLOTS, 1..=MAX_SLOTS, faults);
         let checks_token = reader.flag("checks-token", false, faults);
         reader.finish(faults);
@@ -196,7 +199,7 @@
 fn read_kinds(document: &IniDocument, bundle: &mut ServiceBundle, faults: &mut FaultList) {
     for reader in document.readers("kind") {
         let name = reader.name::<KindName>(faults);
-        let model = reference(&reader, "served-by", faults, |name| bundle.model_id(name));
+        let model = resolve_name(&reader, "served-by", faults, |name| bundle.model_id(name));
         let weight = reader.ranged("weight", 1.0, 0.001..=1_000_000.0, faults);
         let repeatable = read_repeatable(&reader, faults);
         let streaming = reader.flag("streaming", false, faults);
@@ -225,7 +228,8 @@
     }
 }
 
-/// Whether a kind may be repeated has no default: a wrong guess doubles runs.
+/// Reads whether a request kind may run more than once. The key has no default:
+/// a wrong one would let non-repeatable requests run twice.
 fn read_repeatable(reader: &SectionReader<'_>, faults: &mut FaultList) -> bool {
     if reader.text("repeatable").is_none() {
         reader.fault("repeatable", "missing key `repeatable`", faults);
@@ -233,7 +237,8 @@
     reader.flag("repeatable", false, faults)
 }
 
-/// Where data may live has no default: a wrong guess sends it away.
+/// Reads the residency rule of a request kind. The key has no default: a wrong
+/// one would send data to regions where it is not permitted.
 fn read_residency(
     reader: &SectionReader<'_>,
     bundle: &ServiceBundle,
@@ -243,12 +248,13 @@
         Some("anywhere") => ResidencyRule::Anywhere,
         Some("home") => ResidencyRule::Home,
         Some(_) => {
-            let regions = references(reader, "residency", faults, |name| bundle.region_id(name));
+            let regions = resolve_names(reader, "residency", faults, |name| bundle.region_id(name));
             ResidencyRule::Regions(regions)
         }
         None => {
-            let message = "missing key `residency`: expected anywhere, home or a list of regions";
-            reader.fault("residency", message, faults);
+            let missing_key =
+                "missing key `residency`: expected anywhere, home or a list of regions";
+            reader.fault("residency", missing_key, faults);
             ResidencyRule::Home
         }
     }
@@ -266,14 +272,14 @@
     }
 }
 
-fn reference<K: EntityId>(
+fn resolve_name<K: EntityId>(
     reader: &SectionReader<'_>,
     key: &'static str,
     faults: &mut FaultList,
-    find: impl Fn(&str) -> Option<K>,
+    find_id: impl Fn(&str) -> Option<K>,
 ) -> Option<K> {
     let name: String = reader.required(key, faults)?;
-    let id = find(&name);
+    let id = find_id(&name);
     if id.is_none() {
         reader.fault(
             key,
@@ -284,11 +290,11 @@
     id
 }
 
-fn references<K: EntityId>(
+fn resolve_names<K: EntityId>(
     reader: &SectionReader<'_>,
     key: &'static str,
     faults: &mut FaultList,
-    find: impl Fn(&str) -> Option<K>,
+    find_id: impl Fn(&str) -> Option<K>,
 ) -> Vec<K> {
     let names: Vec<String> = reader.list(key, faults);
     if names.is_empty() {
@@ -300,7 +306,7 @@
     }
     let mut ids = Vec::new();
     for name in names {
-        match find(&name) {
+        match find_id(&name) {
             Some(id) => ids.push(id),
             None => reader.fault(
                 key,
--- a/crates/bundle/src/sign.rs
+++ b/crates/bundle/src/sign.rs
@@ -1,8 +1,9 @@
 //! Operators' keys and signatures (ed25519).
 //!
-//! Two different operators sign a content; one of them signs each roll of it
-//! to a region. The texts that are signed begin with a line naming their use,
-//! so that a signature for one use is worthless for another.
+//! Two operators with different keys sign a content. The operator who rolls it
+//! out to a region signs the record of that region. Each signed text begins
+//! with a line that identifies its purpose, so a signature for one purpose is
+//! invalid for another.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -15,21 +16,21 @@
 
 use crate::canonical::ContentDigest;
 
-/// Signatures of different operators that a content needs.
-const NEEDED_SIGNATURES: usize = 2;
+/// Number of signatures with different keys that a content requires.
+const REQUIRED_SIGNATURES: usize = 2;
 const KEY_LEN: usize = 32;
 
-/// A text that is not a key.
+/// Error for a text that is not a valid key.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a key: expected 64 hexadecimal digits of an ed25519 key")]
 pub struct KeyError;
 
-/// An operator's public key, shown as 64 hexadecimal digits.
+/// An operator's public key, formatted as 64 hexadecimal digits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorKey(VerifyingKey);
 
 impl OperatorKey {
-    /// Whether `signature` over `text` is by this key.
+    /// Whether `signature` is a valid signature of `text` by this key.
     pub fn verifies(&self, text: &str, signature: &SignatureText) -> bool {
         let Ok(bytes) = hex::decode(&signature.0) else {
             return false;
@@ -64,21 +65,22 @@
     Ok(bytes)
 }
 
-/// An operator's secret key; its text form never reaches a log.
+/// An operator's secret key. The type implements neither `Display` nor `Debug`, so
+/// that the key is never logged.
 pub struct SigningSecret(SigningKey);
 
 impl SigningSecret {
-    /// Draws a new secret from the system's generator.
+    /// Generates a new secret key from the thread's random number generator.
     pub fn generate() -> Self {
         Self(SigningKey::from_bytes(&rand::random()))
     }
 
-    /// The public key that belongs to it.
+    /// Returns the corresponding public key.
     pub fn public(&self) -> OperatorKey {
         OperatorKey(self.0.verifying_key())
     }
 
-    /// Signs `text`.
+    /// Signs `text` with this key.
     ///
     /// ```
     /// use onyxfall_bundle::SigningSecret;
@@ -91,7 +93,7 @@
         SignatureText(hex::encode(self.0.sign(text.as_bytes()).to_bytes()))
     }
 
-    /// The secret as 64 hexadecimal digits, for the operator's own key file.
+    /// Returns the secret key as 64 hexadecimal digits, for the operator's own key file.
     pub fn reveal(&self) -> String {
         hex::encode(self.0.to_bytes())
     }
@@ -105,57 +107,57 @@
     }
 }
 
-/// A signature as hexadecimal digits.
+/// An ed25519 signature as hexadecimal digits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct SignatureText(pub String);
 
-/// The operators that a program knows.
+/// Public keys of the known operators, by name.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorRing {
     keys: BTreeMap<OperatorName, OperatorKey>,
 }
 
 impl OperatorRing {
-    /// Adds an operator; a later key of the same name replaces the former.
+    /// Adds an operator, replacing an existing key of the same name.
     pub fn insert(&mut self, name: OperatorName, key: OperatorKey) {
         self.keys.insert(name, key);
     }
 
-    /// Number of operators.
+    /// Number of known operators.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether no operator is known.
+    /// Whether the ring has no operator.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// Whether `signature` over `text` is by the operator called `name`.
+    /// Whether `signature` is a valid signature of `text` by the operator called `name`.
     pub fn verifies(&self, name: &OperatorName, text: &str, signature: &SignatureText) -> bool {
         self.keys
             .get(name)
             .is_some_and(|key| key.verifies(text, signature))
     }
 
-    /// Whether `signature` over `text` is by the key `key` of this ring.
-    fn key_of(&self, name: &OperatorName) -> Option<String> {
+    /// Text form of the public key of the operator called `name`.
+    fn key_text(&self, name: &OperatorName) -> Option<String> {
         self.keys.get(name).map(ToString::to_string)
     }
 }
 
-/// A bundle's canonical text with the signatures that it has so far.
+/// A bundle's canonical text with its signatures.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SignedBundle {
-    /// Canonical text.
+    /// Canonical text of the bundle.
     pub text: String,
-    /// Signatures by operator.
+    /// Signatures by operator name; they may be invalid.
     pub signatures: BTreeMap<OperatorName, SignatureText>,
 }
 
 impl SignedBundle {
-    /// A bundle that nobody has signed.
+    /// Creates a bundle without signatures.
     pub fn unsigned(text: String) -> Self {
         Self {
             text,
@@ -163,17 +165,17 @@
         }
     }
 
-    /// Digest of the text.
+    /// Computes the digest of the text.
     pub fn digest(&self) -> ContentDigest {
         ContentDigest::of(&self.text)
     }
 
-    /// The text that an operator signs for `digest`.
+    /// Returns the text that an operator signs for the content `digest`.
     pub fn signing_text(digest: &ContentDigest) -> String {
         format!("onyxfall-content-v1\n{digest}\n")
     }
 
-    /// Operators of `ring` whose signature is valid.
+    /// Names of the operators in `ring` whose signature of this bundle is valid.
     pub fn signers(&self, ring: &OperatorRing) -> Vec<OperatorName> {
         let text = Self::signing_text(&self.digest());
         self.signatures
@@ -183,13 +185,13 @@
             .collect()
     }
 
-    /// Whether enough operators with different keys have signed.
+    /// Whether operators in `ring` with enough different keys have signed this bundle.
     pub fn is_signed_off(&self, ring: &OperatorRing) -> bool {
         let keys: BTreeSet<_> = self
             .signers(ring)
             .iter()
-            .filter_map(|name| ring.key_of(name))
+            .filter_map(|name| ring.key_text(name))
             .collect();
-        keys.len() >= NEEDED_SIGNATURES
+        keys.len() >= REQUIRED_SIGNATURES
     }
 }
--- a/crates/bundle/src/verify.rs
+++ b/crates/bundle/src/verify.rs
@@ -1,7 +1,8 @@
-//! Rules between declarations, apart from the parser.
+//! Checks the rules between the declarations of a bundle.
 //!
-//! The verifier trusts nothing about how a bundle was made, and names every
-//! broken rule at once, in the order of the checks below.
+//! The verifier is independent of the parser and assumes nothing about how a
+//! bundle was built. It reports all violations together, in the order of the
+//! checks below.
 
 use std::collections::BTreeSet;
 use std::fmt::Display;
@@ -12,10 +13,10 @@
 
 use crate::model::{AwayRule, ResidencyRule, ServerRole, ServiceBundle};
 
-/// Most regions that a residency set can hold.
+/// Maximum number of regions that a residency set can hold.
 const MAX_REGIONS: usize = 128;
 
-/// A broken rule.
+/// A violation of a rule between declarations.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{subject}: {message}")]
 pub struct BundleFault {
@@ -23,11 +24,11 @@
     message: String,
 }
 
-/// Checks every rule between declarations.
+/// Checks all rules between declarations.
 ///
 /// # Errors
 ///
-/// All broken rules.
+/// All violations found.
 ///
 /// ```
 /// use onyxfall_bundle::{parse_bundle, verify_bundle};
@@ -38,29 +39,29 @@
 /// assert_eq!(faults[0].to_string(), "region r: has no data centre");
 /// ```
 pub fn verify_bundle(bundle: &ServiceBundle) -> Result<(), Vec<BundleFault>> {
-    let mut context = VerifyContext {
+    let mut verifier = BundleVerifier {
         bundle,
         faults: Vec::new(),
     };
-    context.check_regions();
-    context.check_names();
-    context.check_servers();
-    context.check_kinds();
-    context.check_teams();
-    if context.faults.is_empty() {
+    verifier.check_regions();
+    verifier.check_names();
+    verifier.check_servers();
+    verifier.check_kinds();
+    verifier.check_teams();
+    if verifier.faults.is_empty() {
         Ok(())
     } else {
-        Err(context.faults)
+        Err(verifier.faults)
     }
 }
 
-struct VerifyContext<'a> {
+struct BundleVerifier<'a> {
     bundle: &'a ServiceBundle,
     faults: Vec<BundleFault>,
 }
 
-impl VerifyContext<'_> {
-    fn fault(&mut self, subject: impl Display, message: impl Into<String>) {
+impl BundleVerifier<'_> {
+    fn report_fault(&mut self, subject: impl Display, message: impl Into<String>) {
         self.faults.push(BundleFault {
             subject: subject.to_string(),
             message: message.into(),
@@ -70,17 +71,17 @@
     fn check_regions(&mut self) {
         let bundle = self.bundle;
         if bundle.regions.is_empty() {
-            self.fault("bundle", "declares no region");
+            self.report_fault("bundle", "declares no region");
         }
         if bundle.regions.len() > MAX_REGIONS {
-            self.fault(
+            self.report_fault(
                 "bundle",
                 format!("declares more than {MAX_REGIONS} regions"),
             );
         }
         for (id, region) in bundle.regions.iter() {
             if !bundle.centers.values().any(|center| center.region == id) {
-                self.fault(format!("region {}", region.name), "has no data centre");
+                self.report_fault(format!("region {}", region.name), "has no data centre");
             }
         }
     }
@@ -102,14 +103,14 @@
 
     fn check_unique<K: EntityId, V>(
         &mut self,
-        what: &str,
+        entity: &str,
         map: &EntityMap<K, V>,
         name: impl Fn(&V) -> &str,
     ) {
         let mut seen = BTreeSet::new();
         for value in map.values() {
             if !seen.insert(name(value)) {
-                self.fault(format!("{what} {}", name(value)), "is declared twice");
+                self.report_fault(format!("{entity} {}", name(value)), "is declared twice");
             }
         }
     }
@@ -120,7 +121,7 @@
         for server in bundle.servers.values() {
             let subject = format!("server {}", server.name);
             if !addresses.insert(server.address) {
-                self.fault(
+                self.report_fault(
                     &subject,
                     format!("address {} is already taken", server.address),
                 );
@@ -131,12 +132,12 @@
                 .filter(|model| bundle.models[**model].role == ServerRole::Engine)
                 .count();
             if engines != 0 && engines != server.models.len() {
-                self.fault(&subject, "serves both models and plain services");
+                self.report_fault(&subject, "serves both models and plain services");
             }
         }
         for adapter in bundle.adapters.values() {
             if bundle.models[adapter.model].role == ServerRole::Service {
-                self.fault(
+                self.report_fault(
                     format!("adapter {}", adapter.name),
                     "adapts a plain service",
                 );
@@ -155,24 +156,24 @@
                 .collect();
             if serving.is_empty() {
                 let model = &bundle.models[kind.model].name;
-                self.fault(&subject, format!("no server serves {model}"));
+                self.report_fault(&subject, format!("no server serves {model}"));
             }
             if kind.deadline < kind.service_time {
-                self.fault(&subject, "deadline-ms is below service-ms");
+                self.report_fault(&subject, "deadline-ms is below service-ms");
             }
             if let ResidencyRule::Regions(regions) = &kind.residency {
                 let reachable = serving
                     .iter()
                     .any(|server| regions.contains(&bundle.centers[server.center].region));
                 if !serving.is_empty() && !reachable {
-                    self.fault(
+                    self.report_fault(
                         &subject,
-                        "no server stands in a region of its residency limit",
+                        "no server is in a region that its residency rule allows",
                     );
                 }
             }
             if kind.residency == ResidencyRule::Home && kind.away == AwayRule::Allowed {
-                self.fault(&subject, "residency = home needs away = never");
+                self.report_fault(&subject, "residency = home needs away = never");
             }
         }
     }
@@ -181,7 +182,7 @@
         let bundle = self.bundle;
         for team in bundle.teams.values() {
             if team.burst == 0 {
-                self.fault(format!("team {}", team.name), "burst must be at least 1");
+                self.report_fault(format!("team {}", team.name), "burst must be at least 1");
             }
         }
     }
--- a/crates/bundle/src/version.rs
+++ b/crates/bundle/src/version.rs
@@ -1,4 +1,4 @@
-//! Versions, and the gate that never lets one fall.
+//! Bundle versions, and the gate that accepts only increasing ones.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,24 +11,25 @@
 use crate::head::RegionRecord;
 use crate::sign::OperatorRing;
 
-/// Position in the one order of all changes; grows by one with each.
+/// Version of the head: position in the total order of its changes, increasing by
+/// one with each.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct BundleVersion(u64);
 
 impl BundleVersion {
-    /// Wraps a number.
+    /// Creates a version from its number.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// Returns the number.
+    /// Returns the version number.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// The version after this one.
+    /// Returns the version after this one.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
@@ -52,31 +53,31 @@
     }
 }
 
-/// Why a record was not accepted.
+/// Reason for which a region record was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum AcceptError {
-    /// The same record was accepted before; nothing to do.
-    #[error("{0} is in force already")]
+    /// The content is already in force under this version; no action is needed.
+    #[error("{0} is already in force")]
     Current(BundleVersion),
-    /// The record is older than the accepted one: an alarm, never a change.
+    /// The record is older than the accepted one: raises an alarm and is never applied.
     #[error("{offered} is older than the accepted {accepted}")]
     Older {
-        /// Version that was offered.
+        /// Version of the offered record.
         offered: BundleVersion,
         /// Version in force.
         accepted: BundleVersion,
     },
-    /// Two contents claim one version: an alarm, never a change.
-    #[error("{version} is claimed by two contents, {accepted} and {offered}")]
+    /// Two contents have the same version: raises an alarm and is never applied.
+    #[error("{version} has two contents, {accepted} and {offered}")]
     Conflict {
-        /// The version.
+        /// Version that both records have.
         version: BundleVersion,
         /// Content in force.
         accepted: ContentDigest,
-        /// Content that was offered.
+        /// Content of the offered record.
         offered: ContentDigest,
     },
-    /// The record's signature is not a known operator's.
+    /// The record does not have a valid signature of a known operator.
     #[error("the record of {region} {version} is not signed by a known operator")]
     Signature {
         /// Region of the record.
@@ -86,37 +87,37 @@
     },
 }
 
-/// The accepted record of one region.
+/// Holds the accepted record of one region and checks offered ones against it.
 ///
-/// Invariant: the version in force never falls, whatever is offered.
+/// Invariant: the version in force never decreases, whichever records are offered.
 #[derive(Clone, Debug, Default)]
 pub struct VersionGate {
     accepted: Option<RegionRecord>,
 }
 
 impl VersionGate {
-    /// A gate that has accepted nothing.
+    /// Creates a gate without an accepted record.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The record in force.
+    /// The record in force, if any.
     pub fn accepted(&self) -> Option<&RegionRecord> {
         self.accepted.as_ref()
     }
 
-    /// Version in force; `v0` before the first.
+    /// Version in force; `v0` before the first record is accepted.
     pub fn version(&self) -> BundleVersion {
         self.accepted
             .as_ref()
             .map_or(BundleVersion::default(), |record| record.version)
     }
 
-    /// Checks whether `record` may come into force, without a change.
+    /// Checks whether `record` can be accepted, without accepting it.
     ///
     /// # Errors
     ///
-    /// It is not newer, or is not signed by a known operator.
+    /// The record is not newer than the one in force, or is not signed by a known operator.
     pub fn check(&self, record: &RegionRecord, ring: &OperatorRing) -> Result<(), AcceptError> {
         if let Some(accepted) = &self.accepted {
             check_order(accepted, record)?;
@@ -131,14 +132,17 @@
         })
     }
 
-    /// Brings `record` into force.
+    /// Accepts `record`, which replaces the one in force.
     ///
     /// # Errors
     ///
-    /// As [`Self::check`]; the gate is then unchanged.
+    /// The same as for [`Self::check`]; the gate is then unchanged.
     pub fn accept(&mut self, record: RegionRecord, ring: &OperatorRing) -> Result<(), AcceptError> {
         self.check(&record, ring)?;
-        debug_assert!(record.version > self.version(), "a version never falls");
+        debug_assert!(
+            record.version > self.version(),
+            "the accepted version decreased"
+        );
         self.accepted = Some(record);
         Ok(())
     }
--- a/crates/bundle/tests/files.rs
+++ b/crates/bundle/tests/files.rs
@@ -1,5 +1,6 @@
-//! Text files with exact expected output: a bundle above a line `----`, what
-//! the parser and the verifier say below it. `ONYXFALL_BLESS=1` rewrites them.
+//! Golden tests of the parser and the verifier. Each file holds a bundle, a
+//! line `----` and the expected output. `ONYXFALL_BLESS=1` rewrites the
+//! expected output.
 
 use std::fs;
 use std::path::Path;
@@ -9,7 +10,7 @@
 
 const SEPARATOR: &str = "----\n";
 
-fn output(text: &str) -> String {
+fn bundle_output(text: &str) -> String {
     let document = match IniDocument::parse("bundle", text) {
         Ok(document) => document,
         Err(e) => return format!("{e}\n"),
@@ -31,22 +32,24 @@
 }
 
 #[test]
-fn files_give_their_output() {
+fn files_produce_the_expected_output() {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/files");
     let mut paths: Vec<_> = fs::read_dir(dir)
         .unwrap()
         .map(|entry| entry.unwrap().path())
         .collect();
     paths.sort();
-    assert!(paths.len() >= 5, "the files are there");
+    assert!(paths.len() >= 5, "test files are missing");
     for path in paths {
         let text = fs::read_to_string(&path).unwrap();
-        let (input, expected) = text.split_once(SEPARATOR).expect("a separator line");
-        let found = output(input);
+        let (input, expected) = text
+            .split_once(SEPARATOR)
+            .expect("the file has a separator line");
+        let actual = bundle_output(input);
         if std::env::var_os("ONYXFALL_BLESS").is_some() {
-            fs::write(&path, format!("{input}{SEPARATOR}{found}")).unwrap();
+            fs::write(&path, format!("{input}{SEPARATOR}{actual}")).unwrap();
             continue;
         }
-        assert_eq!(found, expected, "{}", path.display());
+        assert_eq!(actual, expected, "{}", path.display());
     }
 }
--- a/crates/bundle/tests/head.rs
+++ b/crates/bundle/tests/head.rs
@@ -1,5 +1,6 @@
-//! The head under racing operators and lost answers: a breadth-first search
-//! over every history of a small model, and tables.
+//! Tests of head changes, the version gate and sign-off. A breadth-first search
+//! over all states of a small model covers concurrent operators whose write
+//! responses may be lost.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -36,7 +37,7 @@
     ["r0", "r1"][index].parse().unwrap()
 }
 
-/// What an operator's program is about to do.
+/// Next action of an operator's program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum OperatorPhase {
     Open,
@@ -45,15 +46,17 @@
     Refused,
 }
 
-/// A program with the head that it has read, if any.
+/// State of an operator's program.
 #[derive(Clone, Debug)]
 struct OperatorProgram {
     phase: OperatorPhase,
-    read: Option<(u64, HeadRecord)>,
-    lost: bool,
+    /// Revision and head as last read; `None` before a read and after a write.
+    snapshot: Option<(u64, HeadRecord)>,
+    /// Whether the response to the last write was lost.
+    response_lost: bool,
 }
 
-/// The whole model: the stored head with its revision, two programs.
+/// State of the model: the stored head with its revision, and two programs.
 #[derive(Clone, Debug)]
 struct ModelState {
     revision: u64,
@@ -63,7 +66,7 @@
 }
 
 impl ModelState {
-    fn start() -> Self {
+    fn initial() -> Self {
         let mut head = HeadRecord::default();
         let regions: VecDeque<RegionName> = (0..2).map(region).collect();
         let base = OperationId::new("base");
@@ -81,8 +84,8 @@
         }
         let program = OperatorProgram {
             phase: OperatorPhase::Open,
-            read: None,
-            lost: false,
+            snapshot: None,
+            response_lost: false,
         };
         Self {
             revision: 1,
@@ -92,7 +95,7 @@
         }
     }
 
-    /// A key that is equal for states with the same future.
+    /// Returns a key that is equal for states with the same possible successors.
     fn key(&self) -> String {
         let programs: Vec<String> = self
             .programs
@@ -101,8 +104,8 @@
                 format!(
                     "{:?} {:?} {}",
                     p.phase,
-                    p.read.as_ref().map(|r| r.0),
-                    p.lost
+                    p.snapshot.as_ref().map(|r| r.0),
+                    p.response_lost
                 )
             })
             .collect();
@@ -113,7 +116,7 @@
     }
 }
 
-fn change_of(index: usize, phase: OperatorPhase) -> Option<(HeadChange, OperationId)> {
+fn next_change(index: usize, phase: OperatorPhase) -> Option<(HeadChange, OperationId)> {
     let rollout = OperationId::new(format!("op{index}"));
     match phase {
         OperatorPhase::Open => {
@@ -142,48 +145,48 @@
     }
 }
 
-/// The program reads the head, as it does before each write and after a lost answer.
+/// The program reads the head, as it does before each write and after a lost response.
 fn read_head(state: &ModelState, index: usize) -> Option<ModelState> {
     let program = &state.programs[index];
-    let (_, operation) = change_of(index, program.phase)?;
+    let (_, operation) = next_change(index, program.phase)?;
     let mut next = state.clone();
     let program = &mut next.programs[index];
-    program.lost = false;
+    program.response_lost = false;
     if state.head.has_operation(&operation) {
         program.phase = next_phase(program.phase);
-        program.read = None;
+        program.snapshot = None;
     } else {
-        program.read = Some((state.revision, state.head.clone()));
+        program.snapshot = Some((state.revision, state.head.clone()));
     }
     Some(next)
 }
 
-/// The program writes by compare-and-swap; the answer may get lost.
-fn write_head(state: &ModelState, index: usize, lose: bool) -> Option<ModelState> {
+/// The program writes the head by compare-and-swap; the response is lost if `lose_response`.
+fn write_head(state: &ModelState, index: usize, lose_response: bool) -> Option<ModelState> {
     let program = &state.programs[index];
-    let (change, operation) = change_of(index, program.phase)?;
-    let (revision, read) = program.read.clone()?;
+    let (change, operation) = next_change(index, program.phase)?;
+    let (revision, snapshot) = program.snapshot.clone()?;
     let mut next = state.clone();
     let secret = secret(u8::try_from(index).unwrap() + 1);
     let program = &mut next.programs[index];
-    program.read = None;
-    match change_head(&read, &change, &operation, &operator(index), &secret) {
+    program.snapshot = None;
+    match change_head(&snapshot, &change, &operation, &operator(index), &secret) {
         Err(_) => program.phase = OperatorPhase::Refused,
         Ok(head) if revision == state.revision => {
-            if lose {
-                program.lost = true;
+            if lose_response {
+                program.response_lost = true;
             } else {
                 program.phase = next_phase(program.phase);
             }
             next.head = head;
             next.revision += 1;
         }
-        Ok(_) => program.lost = lose,
+        Ok(_) => program.response_lost = lose_response,
     }
     Some(next)
 }
 
-/// A third hand withdraws the first operator's content, once.
+/// A third program withdraws the first operator's content, once.
 fn withdraw(state: &ModelState) -> Option<ModelState> {
     if state.withdrawn {
         return None;
@@ -212,26 +215,29 @@
 fn check_step(before: &ModelState, after: &ModelState) {
     assert!(
         after.head.version >= before.head.version,
-        "the version fell"
+        "the head version decreased"
     );
     for (name, record) in &before.head.regions {
-        let now = &after.head.regions[name];
-        assert!(now.version >= record.version, "a region's version fell");
-        if now.version == record.version {
+        let current = &after.head.regions[name];
+        assert!(
+            current.version >= record.version,
+            "a region's version decreased"
+        );
+        if current.version == record.version {
             assert_eq!(
-                now.content, record.content,
-                "two contents under one version"
+                current.content, record.content,
+                "two contents have the same version"
             );
         }
     }
 }
 
 #[test]
-fn every_history_of_two_operators_keeps_the_order() {
+fn every_history_of_two_operators_keeps_versions_monotonic() {
     let ring = ring();
     let mut seen = BTreeSet::new();
-    let mut queue = VecDeque::from([ModelState::start()]);
-    let mut ends: BTreeMap<String, usize> = BTreeMap::new();
+    let mut queue = VecDeque::from([ModelState::initial()]);
+    let mut final_phases: BTreeMap<String, usize> = BTreeMap::new();
     let mut verified = BTreeSet::new();
     while let Some(state) = queue.pop_front() {
         if !seen.insert(state.key()) {
@@ -239,29 +245,35 @@
         }
         for record in state.head.regions.values() {
             let is_new = verified.insert(record.signature.0.clone());
-            assert!(!is_new || record.verify(&ring), "an unsigned record");
+            assert!(
+                !is_new || record.verify(&ring),
+                "a record has no valid signature"
+            );
         }
         let next = successors(&state);
         for after in &next {
             check_step(&state, after);
         }
-        let is_over =
+        let is_final =
             |p: &OperatorProgram| matches!(p.phase, OperatorPhase::Done | OperatorPhase::Refused);
-        if state.programs.iter().all(is_over) {
+        if state.programs.iter().all(is_final) {
             let phases: Vec<_> = state.programs.iter().map(|p| p.phase).collect();
-            *ends.entry(format!("{phases:?}")).or_default() += 1;
+            *final_phases.entry(format!("{phases:?}")).or_default() += 1;
         }
         queue.extend(next);
     }
     assert!(
         seen.len() > 300,
-        "the search is not trivial: {}",
+        "the search visited only {} states",
         seen.len()
     );
-    assert!(ends.contains_key("[Done, Refused]") && ends.contains_key("[Refused, Done]"));
     assert!(
-        ends.contains_key("[Done, Done]"),
-        "one after the other both succeed"
+        final_phases.contains_key("[Done, Refused]")
+            && final_phases.contains_key("[Refused, Done]")
+    );
+    assert!(
+        final_phases.contains_key("[Done, Done]"),
+        "no history in which both rollouts succeed one after the other"
     );
 }
 
@@ -296,13 +308,13 @@
 }
 
 #[test]
-fn the_gate_takes_only_newer_signed_records() {
+fn the_gate_accepts_only_newer_signed_records() {
     let mut forged = record(9, 2);
     forged.content = content(1);
-    let mut stranger = record(9, 2);
-    stranger.operator = "eve".parse().unwrap();
-    let mut moved = record(9, 2);
-    moved.region = region(1);
+    let mut unknown_operator = record(9, 2);
+    unknown_operator.operator = "eve".parse().unwrap();
+    let mut other_region = record(9, 2);
+    other_region.region = region(1);
     let cases = [
         GateCase {
             name: "newer",
@@ -329,20 +341,20 @@
             error: |e| matches!(e, AcceptError::Conflict { .. }),
         },
         GateCase {
-            name: "content exchanged",
+            name: "content replaced after signing",
             offered: forged,
             accepts: false,
             error: |e| matches!(e, AcceptError::Signature { .. }),
         },
         GateCase {
             name: "unknown operator",
-            offered: stranger,
+            offered: unknown_operator,
             accepts: false,
             error: |e| matches!(e, AcceptError::Signature { .. }),
         },
         GateCase {
-            name: "another region's",
-            offered: moved,
+            name: "record of another region",
+            offered: other_region,
             accepts: false,
             error: |e| matches!(e, AcceptError::Signature { .. }),
         },
@@ -357,7 +369,7 @@
                 assert_eq!(
                     gate.version(),
                     BundleVersion::new(5),
-                    "{}: unchanged",
+                    "{}: the version in force changed",
                     case.name
                 );
             }
@@ -369,45 +381,48 @@
 fn sign_off_needs_two_different_known_keys() {
     let mut bundle = SignedBundle::unsigned("text".to_owned());
     let text = SignedBundle::signing_text(&bundle.digest());
-    assert!(!bundle.is_signed_off(&ring()), "none");
+    assert!(!bundle.is_signed_off(&ring()), "no signature");
     bundle.signatures.insert(operator(0), secret(1).sign(&text));
-    assert!(!bundle.is_signed_off(&ring()), "one");
+    assert!(!bundle.is_signed_off(&ring()), "one signature");
     bundle.signatures.insert(operator(1), secret(1).sign(&text));
     assert!(
         !bundle.is_signed_off(&ring()),
-        "the same key under another name"
+        "second signature by the key of the first operator"
     );
     bundle
         .signatures
         .insert(operator(1), secret(2).sign("other"));
     assert!(
         !bundle.is_signed_off(&ring()),
-        "a signature of another text"
+        "second signature is for another text"
     );
     bundle.signatures.insert(operator(1), secret(2).sign(&text));
-    assert!(bundle.is_signed_off(&ring()), "two");
-    let mut twin = ring();
-    twin.insert(operator(1), secret(1).public());
+    assert!(bundle.is_signed_off(&ring()), "two signatures");
+    let mut duplicate_key_ring = ring();
+    duplicate_key_ring.insert(operator(1), secret(1).public());
     bundle.signatures.insert(operator(1), secret(1).sign(&text));
-    assert!(!bundle.is_signed_off(&twin), "one key held under two names");
+    assert!(
+        !bundle.is_signed_off(&duplicate_key_ring),
+        "one key registered under two names"
+    );
 }
 
 #[test]
-fn withdrawing_goes_back_under_a_higher_version() {
-    let head = ModelState::start().head;
+fn withdrawal_restores_the_former_content_under_a_higher_version() {
+    let head = ModelState::initial().head;
     let open = HeadChange::Open {
         content: content(1),
         regions: [region(0)].into(),
     };
     let id = OperationId::new("a");
     let head = change_head(&head, &open, &id, &operator(0), &secret(1)).unwrap();
-    let racing = HeadChange::Open {
+    let concurrent = HeadChange::Open {
         content: content(2),
         regions: [region(0)].into(),
     };
     let error = change_head(
         &head,
-        &racing,
+        &concurrent,
         &OperationId::new("b"),
         &operator(1),
         &secret(2),
@@ -437,12 +452,12 @@
     .unwrap();
     assert_eq!(after.regions[&region(0)].content, content(0));
     assert!(after.regions[&region(0)].version > head.regions[&region(0)].version);
-    let again = change_head(
+    let repeated = change_head(
         &after,
         &change,
         &OperationId::new("w2"),
         &operator(1),
         &secret(2),
     );
-    assert!(matches!(again, Err(HeadError::NotInForce { .. })));
+    assert!(matches!(repeated, Err(HeadError::NotInForce { .. })));
 }
--- a/crates/fleet/benches/admission.rs
+++ b/crates/fleet/benches/admission.rs
@@ -1,8 +1,8 @@
-//! Time from the digest of a caller's key to the decision on its team's limit.
+//! Time from the digest of a caller's key to the decision on its team's quota.
 //!
-//! Before teams were known there was nothing to decide; now it takes 0.19 us at 16 keys,
-//! 0.13 at 1,000 and 0.83 at 100,000 (means, on a machine with four other busy cores).
-//! The number of VMs does not enter: what they ask for comes summed by region.
+//! It takes 0.19 us at 16 keys, 0.13 at 1,000 and 0.83 at 100,000 (means, on a machine
+//! with four other busy cores). Without teams there is nothing to decide. The number of
+//! VMs has no influence: their demand is received as sums by region.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// Regions that tell of each team, beside this one.
+/// Number of regions that report the demand of each team, besides this one.
 const REGIONS: u64 = 2;
 
 fn digest(number: u64) -> KeyDigest {
@@ -52,8 +52,8 @@
         quotas.set_teams(at(0), limits);
         for region in 0..REGIONS {
             let region = format!("r{region}").parse().unwrap();
-            let words: Vec<(u32, f64)> = rules.iter().map(|rule| (rule.tag(), 1e3)).collect();
-            quotas.receive(at(0), &region, &words);
+            let demands: Vec<(u32, f64)> = rules.iter().map(|rule| (rule.tag(), 1e3)).collect();
+            quotas.receive(at(0), &region, &demands);
         }
         let table = TeamTable::new(rules);
         let mut rng = StdRng::seed_from_u64(1);
--- a/crates/fleet/benches/choice.rs
+++ b/crates/fleet/benches/choice.rs
@@ -1,8 +1,8 @@
 //! Time of one choice of a server in a data centre of the planned size: 135 servers,
 //! shared prefixes, the work of seven other VMs at each.
 //!
-//! A choice with the booking of its attempt, first byte and end took 13 us with fixed
-//! costs and 18 us with learned ones, on one of eight cores, four of them busy.
+//! A choice, including the records of its attempt, first byte and end, took 13 us with
+//! fixed costs and 18 us with learned ones, on one of eight cores, four of them busy.
 
 use std::hint::black_box;
 use std::net::SocketAddr;
--- a/crates/fleet/src/backup.rs
+++ b/crates/fleet/src/backup.rs
@@ -1,10 +1,10 @@
-//! Which runs get a copy of their memory at another server, and where.
+//! Choice of the runs whose memory is copied to another server, and of that server.
 //!
 //! A generation that may run only once is lost with its server, unless its memory was
-//! being copied to another one, which can then go on as the same run. A copy costs
-//! what it moves. It is made when the expected loss is larger: the chance that the
-//! server breaks while the run lasts, times the request. Crashes come in bursts, so
-//! the chance is that of the last seconds, by service.
+//! being copied to another one, which can then continue the same run. A copy costs
+//! transfer. It is made when the expected loss is larger: the probability that the
+//! server crashes during the run, times one request. Crashes come in bursts, so the
+//! probability is derived from the last seconds, by service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,64 +18,65 @@
 use crate::switches::DecisionSwitch;
 use crate::view::FleetView;
 
-/// Time in which a server's crash fades to a third. On days with faults a second burst
-/// of crashes followed the first within 1 to 10 s; a longer memory pays for copies
-/// long after.
-const CRASH_FADE: Duration = Duration::from_secs(15);
+/// Decay time of a server's crash. On days with faults a second burst of crashes
+/// followed the first within 1 to 10 s; a longer time would make copies long after the
+/// risk is over.
+const CRASH_DECAY: Duration = Duration::from_secs(15);
 
-/// How often servers of a service crashed lately.
+/// Recent crash rate of the servers of a service.
 #[derive(Clone, Debug)]
-pub(crate) struct CrashRecord {
+pub(crate) struct CrashRate {
     flow: FlowMeter,
-    /// Lives that were counted; each crashes once.
+    /// Server instances that were counted; each crashes at most once.
     counted: BTreeSet<ServerId>,
 }
 
-impl Default for CrashRecord {
+impl Default for CrashRate {
     fn default() -> Self {
         Self {
-            flow: FlowMeter::new(CRASH_FADE),
+            flow: FlowMeter::new(CRASH_DECAY),
             counted: BTreeSet::new(),
         }
     }
 }
 
-impl CrashRecord {
+impl CrashRate {
     fn note(&mut self, now: Moment, server: ServerId) {
         if self.counted.insert(server) {
             self.flow.note(now, 1);
         }
     }
 
-    /// Crashes of one of `servers` a second.
+    /// Crashes per second and server, for `servers` servers.
     fn rate(&self, now: Moment, servers: usize) -> f64 {
         self.flow.per_second(now) / servers.max(1) as f64
     }
 }
 
-/// What decided about a copy, for the log.
+/// Decision on a copy with the figures behind it, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackupDecision {
-    /// Where the copy goes; none if it does not pay, or nobody has room.
+    /// Server that receives the copy; none if the copy costs more than it saves, or no
+    /// server has capacity.
     pub server: Option<ServerId>,
-    /// Part of the request that is expected to be lost without a copy.
+    /// Expected loss without a copy, in requests.
     pub risk: f64,
-    /// What the copy costs, in requests.
+    /// Cost of the copy, in requests.
     pub cost: f64,
 }
 
-/// Crashes by service.
-pub(crate) type CrashTable = BTreeMap<ServiceName, CrashRecord>;
+/// Crash records by service.
+pub(crate) type CrashTable = BTreeMap<ServiceName, CrashRate>;
 
 impl FleetView {
-    /// Notes that a server broke off an answer that it had begun.
+    /// Records that a server broke the connection during a response.
     pub fn note_crash(&mut self, now: Moment, id: ServerId) {
         let service = self.server(id).record.service.clone();
         self.crashes_mut().entry(service).or_default().note(now, id);
     }
 
-    /// Decides whether a run that may not be repeated gets a copy while it runs at
-    /// `source`. `copied_gb` is what a GB costs, in requests that are lost.
+    /// Decides whether a run that may not be repeated is copied while it runs at
+    /// `source`. `copied_gb` is the cost of copying one GB, in lost requests.
     pub fn choose_backup(
         &self,
         now: Moment,
@@ -97,7 +98,7 @@
         }
         let servers = self.servers_of(&needs.service).len();
         let rate = self.crashes().get(&needs.service);
-        let rate = rate.map_or(0.0, |record| record.rate(now, servers));
+        let rate = rate.map_or(0.0, |rate| rate.rate(now, servers));
         let bytes = needs.prompt.likely_memory() as f64 * engine.token_bytes as f64;
         let risk = rate * predicted.whole.as_secs_f64();
         let cost = bytes / 1e9 * copied_gb;
@@ -109,21 +110,25 @@
         }
     }
 
-    /// The server with the least work that could hold a copy: of this region, in
-    /// another data centre than the source's where there is one.
+    /// The server of this region with the least work that could hold a copy, if
+    /// possible in another data centre than the source.
     fn backup_server(
         &self,
         now: Moment,
         source: ServerId,
         needs: &CallRequirements,
     ) -> Option<ServerId> {
-        let place = &self.server(source).record.center;
+        let source_center = &self.server(source).record.center;
         self.free_servers(now, needs)
             .filter(|id| *id != source)
             .min_by_key(|id| {
                 let server = self.server(*id);
                 let work = server.work();
-                (server.record.center == *place, work.memory, work.requests)
+                (
+                    server.record.center == *source_center,
+                    work.memory,
+                    work.requests,
+                )
             })
     }
 }
--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -1,45 +1,45 @@
-//! This VM's part of a service's retry budget.
+//! This VM's share of a service's retry budget.
 //!
-//! The budget of a service is `ratio` times its requests in a window plus a
-//! fixed number, summed over all VMs. The part by ratio needs no sharing: each
-//! VM counts its own requests. The fixed number is divided by the VMs known, those
-//! lost lately included; a VM that does not know the others yet takes nothing of it.
+//! The budget of a service is `ratio` times its requests in a window plus a fixed
+//! number, summed over all VMs. The part by ratio needs no sharing: each VM counts its
+//! own requests. The fixed number is divided by the known VMs, including those lost
+//! recently; a VM that does not know the others yet uses nothing of it.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use onyxfall_policy::Moment;
 
-/// Part of the budget that is used; the rest covers requests in flight and
-/// windows that do not line up with ours.
-const USED_PART: f64 = 0.8;
+/// Fraction of the budget that is used. The rest covers requests in flight and windows
+/// that are not aligned with those of the observer.
+const USED_FRACTION: f64 = 0.8;
 
-/// The figures of a budget.
+/// Parameters of a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetLimits {
-    /// Repeats allowed for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats allowed beside, for all VMs together.
+    /// Additional retries allowed for all VMs together.
     pub extra: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
-/// Counts of one service in this VM.
+/// Requests and retries of one service in this VM.
 #[derive(Clone, Debug, Default)]
 pub struct RetryShare {
-    firsts: VecDeque<Moment>,
-    repeats: VecDeque<Moment>,
+    requests: VecDeque<Moment>,
+    retries: VecDeque<Moment>,
 }
 
 impl RetryShare {
-    /// Notes the first sending of a request.
+    /// Records the first sending of a request.
     pub fn note_first(&mut self, now: Moment) {
-        self.firsts.push_back(now);
+        self.requests.push_back(now);
     }
 
-    /// Takes one repeat from the budget if it allows one. `vms` share the fixed part;
-    /// none while they are not known.
+    /// Consumes one retry of the budget if one is left. The fixed part is divided by
+    /// `vms`, and not used while their number is unknown.
     ///
     /// ```
     /// use onyxfall_fleet::{BudgetLimits, RetryShare};
@@ -49,18 +49,18 @@
     /// assert!(!RetryShare::default().try_repeat(Moment::ZERO, &limits, Some(1)));
     /// ```
     pub fn try_repeat(&mut self, now: Moment, limits: &BudgetLimits, vms: Option<usize>) -> bool {
-        self.forget(now, limits.window);
+        self.drop_expired(now, limits.window);
         let fixed = vms.map_or(0.0, |vms| limits.extra / vms.max(1) as f64);
-        let allowed = USED_PART * (limits.ratio * self.firsts.len() as f64 + fixed);
-        if (self.repeats.len() + 1) as f64 > allowed {
+        let allowed = USED_FRACTION * (limits.ratio * self.requests.len() as f64 + fixed);
+        if (self.retries.len() + 1) as f64 > allowed {
             return false;
         }
-        self.repeats.push_back(now);
+        self.retries.push_back(now);
         true
     }
 
-    fn forget(&mut self, now: Moment, window: Duration) {
-        for times in [&mut self.firsts, &mut self.repeats] {
+    fn drop_expired(&mut self, now: Moment, window: Duration) {
+        for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|at| now - *at > window) {
                 times.pop_front();
             }
--- a/crates/fleet/src/choose.rs
+++ b/crates/fleet/src/choose.rs
@@ -1,11 +1,11 @@
-//! Choice of a backend server of this VM's region.
+//! Choice of a backend server in this VM's region.
 //!
-//! Requests with the same shared prefix go to the same server, by rendezvous
-//! hashing, so that it is read once, as long as that server answers well within
-//! the goal; then to the next ones in the same order, so that all VMs spread a
-//! prefix over the same few servers. Otherwise servers are compared by the
-//! expected time to the first byte. A server whose breaker is open is chosen only
-//! when no other is left.
+//! Requests with the same shared prefix are sent to the same server, by rendezvous
+//! hashing, so that the prefix is prefilled once, as long as that server is expected to
+//! respond well within the goal. Otherwise they go to the next servers in the same
+//! order, so that all VMs spread a prefix over the same few servers. Failing that,
+//! servers are compared by expected time to the first byte. A server whose circuit
+//! breaker is open is chosen only when no other is left.
 
 use std::time::Duration;
 
@@ -21,66 +21,68 @@
 use crate::switches::{ChoicePolicy, DecisionSwitch};
 use crate::view::FleetView;
 
-/// Part of the goal up to which a prefix's own server is kept: the time to read all
-/// prompts there, one after the other. Reading a shared part once more elsewhere makes
-/// everybody late in a rush. On 24 days of three sites 0.62, 0.9 and 1.2 of the goal
-/// brought a mean worth of 0.689, 0.697 and 0.701, and 2.9, 2.4 and 2.2 % of worth
-/// went to shared parts read again.
-const OWNER_PART: f64 = 1.2;
-/// Part of the goal up to which others' work is no reason to leave it, however long
-/// the request's own prompt takes.
-const IDLE_PART: f64 = 0.1;
-/// Reading time that must be saved for a request to go to its prefix's own server.
-/// Below, the reading is lost in what a prediction errs, and all requests of a kind
-/// would be held to a few servers; mean worth is the same with and without (0.648
-/// and 0.649 on 18 days of two sites).
-const LEAST_SAVED: Duration = Duration::from_millis(10);
-/// Servers in the order of hashing that are tried for a prefix before any other.
+/// Fraction of the goal up to which a prefix's owner is used, compared with the time to
+/// prefill all prompts there sequentially. Prefilling a shared part again elsewhere
+/// delays all requests under high load. On 24 days of three sites, 0.62, 0.9 and 1.2
+/// gave a mean value of 0.689, 0.697 and 0.701, and 2.9, 2.4 and 2.2 % of the value was
+/// spent on prefilling shared parts again.
+const OWNER_GOAL_FRACTION: f64 = 1.2;
+/// Fraction of the goal up to which the backlog is no reason to leave the owner,
+/// however long the request's own prefill takes.
+const IDLE_GOAL_FRACTION: f64 = 0.1;
+/// Minimum prefill time that must be saved for a request to go to its prefix's owner.
+/// Savings below it are within the prediction error, and all requests of a kind would
+/// be tied to a few servers. The mean value is the same with and without it (0.648 and
+/// 0.649 on 18 days of two sites).
+const MIN_PREFILL_SAVED: Duration = Duration::from_millis(10);
+/// Number of servers, in rendezvous order, that are tried for a prefix before any
+/// other.
 const PREFIX_SERVERS: usize = 3;
-/// Part of an answer's whole time that counts like its first byte: a long answer is
-/// better off where prompts are not being read, even if it begins later there. Mean
-/// worth of nine days each of two sites rose by 0.005 with it, which is near the
-/// noise; 2,202 instead of 2,275 tries met their caller's deadline on one of them.
-const WHOLE_PART: f64 = 0.25;
-/// Cost of a cold server, so that it gets work only when others are busy.
-const COLD_COST: Duration = Duration::from_millis(150);
-/// VMs that draw in the same stretch: if some of them have more to send than others, or
-/// go, the rest still fills their servers.
-const STRETCH_VMS: f64 = 16.0;
-/// Spread of the random part that keeps VMs with the same view apart.
+/// Weight of the time to the end of the response relative to the time to its first
+/// byte. Long responses finish earlier on servers that are not prefilling, even if they
+/// start later there. It raised the mean value of nine days each of two sites by 0.005,
+/// which is near the noise; on one of them 2,202 instead of 2,275 attempts met the
+/// caller's deadline.
+const WHOLE_RESPONSE_WEIGHT: f64 = 0.25;
+/// Penalty of a cold server, so that it gets requests only when the others are busy.
+const COLD_PENALTY: Duration = Duration::from_millis(150);
+/// Number of VMs whose draws overlap in the same span. If some of them send more than
+/// others, or leave, the rest still fill the servers of the span.
+const SPAN_VMS: f64 = 16.0;
+/// Range of the random term that separates VMs with the same view.
 const JITTER: Duration = Duration::from_millis(2);
 
-/// A server that a request could go to.
+/// Server to which a request can be sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerChoice {
-    /// The server.
+    /// Server id.
     pub server: ServerId,
-    /// Expected times.
+    /// Predicted times of the request at this server.
     pub predicted: TimePrediction,
-    /// Why it was chosen.
+    /// Reason for the choice.
     pub reason: ChoiceReason,
 }
 
-/// Why a server was chosen.
+/// Reason for which a server was chosen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ChoiceReason {
-    /// It is the request's prefix's own server.
+    /// The server owns the request's prefix.
     Owner,
-    /// It is one of the next in the order of the prefix's servers.
+    /// The server is one of the next in the rendezvous order of the prefix.
     Successor,
-    /// It promises the earliest first byte.
+    /// The server has the earliest expected first byte.
     #[default]
     Earliest,
-    /// It holds a copy of the run.
+    /// The server holds a backup of the run.
     Backup,
-    /// The least is lost there if the request crashes its server.
+    /// The request may crash its server, and the fewest requests run on this one.
     Alone,
-    /// It was its turn, or chance; a baseline's choice.
+    /// Round-robin or random choice of a baseline policy.
     Baseline,
 }
 
 impl ChoiceReason {
-    /// Word for logs.
+    /// Name in logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Owner => "owner",
@@ -93,23 +95,24 @@
     }
 }
 
-/// What the region has for a request.
+/// Availability of servers in this region for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LocalOption {
-    /// A server with room.
+    /// A server with capacity.
     Free(ServerChoice),
-    /// Servers that could run it are full.
+    /// All servers that could run the request are full.
     Full,
-    /// Servers are cold or failing; one may be usable after a moment.
-    Resting,
-    /// No server that could run it takes anything from this VM before the moment.
-    Held(Moment),
-    /// There is no server here that may run it.
+    /// Servers are cold or failing; one may be usable later.
+    Unavailable,
+    /// No server that could run the request accepts requests from this VM before the
+    /// given moment.
+    BackedOff(Moment),
+    /// No server of this region may run the request.
     None,
 }
 
 impl FleetView {
-    /// The best server of this region for a request.
+    /// Chooses the best server of this region for a request.
     pub fn choose(
         &mut self,
         now: Moment,
@@ -121,7 +124,7 @@
         self.choose_among(now, needs, candidates, rng)
     }
 
-    /// The best of some servers of this region for a request.
+    /// Chooses the best of the given candidates for a request.
     pub(crate) fn choose_among(
         &mut self,
         now: Moment,
@@ -135,23 +138,23 @@
         if let Some(end) = self.earliest_hold_end(now, &candidates) {
             return LocalOption::BackedOff(end);
         }
-        let roomy: Vec<ServerId> = candidates
+        let with_capacity: Vec<ServerId> = candidates
             .into_iter()
             .filter(|id| self.takes_now(now, *id) && self.has_room(*id, needs))
             .collect();
-        if roomy.is_empty() {
+        if with_capacity.is_empty() {
             return LocalOption::Full;
         }
-        let pool = self.usable(now, roomy);
+        let pool = self.usable(now, with_capacity);
         if let Some(choice) = self.baseline_choice(now, needs, &pool, rng) {
             return LocalOption::Free(choice);
         }
         let ranked = self.prefix_servers(needs, &pool, self.prefix_count(needs));
         let owner = ranked.first().copied();
-        let quick = ranked
+        let preferred = ranked
             .iter()
-            .find_map(|id| self.quick_choice(now, *id, needs));
-        if let Some(mut choice) = quick {
+            .find_map(|id| self.prefix_choice(now, *id, needs));
+        if let Some(mut choice) = preferred {
             choice.reason = if Some(choice.server) == owner {
                 ChoiceReason::Owner
             } else {
@@ -160,18 +163,19 @@
             return LocalOption::Free(choice);
         }
         let owner = owner.or_else(|| self.prefix_servers(needs, &pool, 1).first().copied());
-        let offers: Vec<ServerOffer> = pool
+        let candidates: Vec<CandidateCost> = pool
             .into_iter()
-            .map(|id| self.offer(now, id, needs, rng))
+            .map(|id| self.candidate_cost(now, id, needs, rng))
             .collect();
-        let Some(choice) = self.draw(now, needs, &offers, owner, rng) else {
+        let Some(choice) = self.draw_server(now, needs, &candidates, owner, rng) else {
             return LocalOption::Unavailable;
         };
-        self.note_drawn(now, &needs.service);
+        self.record_drawn(now, &needs.service);
         LocalOption::Free(choice)
     }
 
-    /// The server of this region with the fewest requests, for one that may crash it.
+    /// Returns the server of this region with the fewest requests, for a request that
+    /// may crash it.
     pub fn choose_alone(
         &self,
         now: Moment,
@@ -187,8 +191,8 @@
         }
         let free = self.free_servers(now, needs);
         let free = free.filter(|id| !excluded.contains(id));
-        let calmest = free.min_by_key(|id| self.server(*id).work().requests);
-        calmest.map_or(LocalOption::Unavailable, |server| {
+        let least_busy = free.min_by_key(|id| self.server(*id).work().requests);
+        least_busy.map_or(LocalOption::Unavailable, |server| {
             LocalOption::Free(ServerChoice {
                 server,
                 predicted: self.predict(now, server, needs),
@@ -197,28 +201,33 @@
         })
     }
 
-    /// Of servers with room, those that may have a request now.
-    fn usable(&mut self, now: Moment, roomy: Vec<ServerId>) -> Vec<ServerId> {
-        let awake: Vec<ServerId> = roomy
+    /// Filters servers with capacity down to those that may be sent a request now.
+    fn usable(&mut self, now: Moment, with_capacity: Vec<ServerId>) -> Vec<ServerId> {
+        let sendable: Vec<ServerId> = with_capacity
             .into_iter()
             .filter(|id| self.may_send_cold(now, *id))
             .collect();
         if !self.switches().is_on(DecisionSwitch::CircuitBreaker) {
-            return awake;
+            return sendable;
         }
-        let trusted: Vec<ServerId> = awake
+        let trusted: Vec<ServerId> = sendable
             .iter()
             .copied()
             .filter(|id| self.is_trusted(now, *id))
             .collect();
-        if trusted.is_empty() { awake } else { trusted }
+        if trusted.is_empty() {
+            sendable
+        } else {
+            trusted
+        }
     }
 
-    /// Servers in the order of hashing that are tried for a prefix before any other.
+    /// Number of servers in rendezvous order that are tried for a prefix before any
+    /// other.
     fn prefix_count(&self, needs: &CallRequirements) -> usize {
         let shared = needs.prompt.shared_tokens();
         let saved = self.prefill_time(&needs.service, shared);
-        if saved < LEAST_SAVED || !self.switches().is_on(DecisionSwitch::PrefixOwner) {
+        if saved < MIN_PREFILL_SAVED || !self.switches().is_on(DecisionSwitch::PrefixOwner) {
             0
         } else if self.switches().is_on(DecisionSwitch::PrefixSpill) {
             PREFIX_SERVERS
@@ -227,7 +236,7 @@
         }
     }
 
-    /// The choice of a policy that does not look at expected times.
+    /// Choice of a baseline policy, which ignores expected times.
     fn baseline_choice(
         &mut self,
         now: Moment,
@@ -238,7 +247,7 @@
         let index = match self.switches().policy() {
             ChoicePolicy::Expected | ChoicePolicy::LocalOnly => return None,
             ChoicePolicy::Random => rng.random_range(0..pool.len().max(1)),
-            ChoicePolicy::RoundRobin => self.next_turn() % pool.len().max(1),
+            ChoicePolicy::RoundRobin => self.next_round_robin() % pool.len().max(1),
         };
         let server = *pool.get(index)?;
         Some(ServerChoice {
@@ -253,17 +262,16 @@
         if !needs.allows_region(region) {
             return Vec::new();
         }
-        self.near_servers(&needs.service)
+        self.region_servers(&needs.service)
             .filter(|id| !excluded.contains(id))
             .collect()
     }
 
-    /// The region of the server that holds the request's shared prefix, by
-    /// rendezvous hashing over the servers of every region that may run it. It
-    /// ranks them as the choice within a region does, so that the VM there finds
-    /// the same server.
+    /// Region of the server that owns the request's shared prefix, by rendezvous
+    /// hashing over the permitted servers of every region. The ranking is the same as
+    /// for the choice within a region, so that a VM there finds the same server.
     pub fn prefix_home(&self, needs: &CallRequirements) -> Option<&RegionName> {
-        // Without a shared prefix there is no owner to look for.
+        // Without a shared prefix there is no owner.
         needs.prompt.affinity()?;
         if !self.switches().is_on(DecisionSwitch::PrefixHome) {
             return None;
@@ -286,11 +294,11 @@
         let name = &self.server(id).record.name;
         let is_sender =
             self.is_alone() || is_cold_sender(name, &self.place().vm, self.region_vms());
-        is_sender && self.server_mut(id).cold_share().has_one(now)
+        is_sender && self.server_mut(id).cold_share().is_available(now)
     }
 
-    /// The first `count` servers that rendezvous hashing gives the request's shared
-    /// prefix. Each request asks, so only these are put in order.
+    /// The first `count` servers in rendezvous order for the request's shared prefix.
+    /// This runs for each request, so only these are sorted.
     fn prefix_servers(
         &self,
         needs: &CallRequirements,
@@ -315,8 +323,9 @@
         ranked.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// A server of the prefix, if it answers well within the goal.
-    fn quick_choice(
+    /// Returns the choice of a prefix server if its expected first byte is well within
+    /// the goal.
+    fn prefix_choice(
         &self,
         now: Moment,
         id: ServerId,
@@ -324,94 +333,105 @@
     ) -> Option<ServerChoice> {
         let server = self.server(id);
         let predicted = self.predict(now, id, needs);
-        let is_idle = predicted.backlog <= needs.goal.mul_f64(IDLE_PART);
-        let is_quick = (is_idle || predicted.loaded <= needs.goal.mul_f64(OWNER_PART))
+        let is_idle = predicted.backlog <= needs.goal.mul_f64(IDLE_GOAL_FRACTION);
+        let is_preferred = (is_idle || predicted.loaded <= needs.goal.mul_f64(OWNER_GOAL_FRACTION))
             && !server.is_cold(now)
             && self.is_in_time(now, &predicted, needs);
-        is_quick.then_some(ServerChoice {
+        is_preferred.then_some(ServerChoice {
             server: id,
             predicted,
             reason: ChoiceReason::Owner,
         })
     }
 
-    /// The prefix's own server if it is busier than the others by less than reading the
-    /// prefix anew costs; otherwise draws one of the servers that are not expected to be
-    /// late, if there are any. The others are compared by the level that what all VMs
-    /// send fills them to, and not by the least busy one, which would never be the owner:
-    /// each request has another owner, so that owners fill evenly by themselves.
-    fn draw(
+    /// Returns the prefix's owner if its extra load costs less than prefilling the
+    /// prefix again. Otherwise draws one of the servers that are not expected to miss
+    /// the deadline, if there are any. The owner is compared with the level to which
+    /// the requests of all VMs fill the servers, and not with the least loaded server,
+    /// which would never be the owner: each prefix has another owner, so that requests
+    /// to owners spread evenly.
+    fn draw_server(
         &self,
         now: Moment,
         needs: &CallRequirements,
-        offers: &[ServerOffer],
+        candidates: &[CandidateCost],
         owner: Option<ServerId>,
         rng: &mut impl Rng,
     ) -> Option<ServerChoice> {
-        let in_time: Vec<ServerOffer> = offers
+        let on_time: Vec<CandidateCost> = candidates
             .iter()
             .copied()
-            .filter(|offer| !offer.is_late)
+            .filter(|candidate| !candidate.is_late)
             .collect();
-        let offers = if in_time.is_empty() { offers } else { &in_time };
-        let costs: Vec<f64> = offers.iter().map(|offer| offer.cost).collect();
+        let candidates = if on_time.is_empty() {
+            candidates
+        } else {
+            &on_time
+        };
+        let costs: Vec<f64> = candidates.iter().map(|candidate| candidate.cost).collect();
         let work = self.work_of(needs, 0).as_secs_f64();
-        let unknown = if self.switches().is_on(DecisionSwitch::LevelDraw) {
-            self.unknown_requests(now, &needs.service)
+        let unreported = if self.switches().is_on(DecisionSwitch::LevelDraw) {
+            self.unreported_requests(now, &needs.service)
         } else {
             0.0
         };
-        let kept_up_to = fill_level(&costs, work * unknown) + self.reread_cost(needs).as_secs_f64();
-        let of_owner = offers.iter().find(|offer| Some(offer.server) == owner);
-        if let Some(offer) = of_owner.filter(|offer| offer.cost <= kept_up_to) {
-            return Some(offer.choice(ChoiceReason::Owner));
+        let owner_cost_limit =
+            fill_level(&costs, work * unreported) + self.reprefill_cost(needs).as_secs_f64();
+        let owner_entry = candidates
+            .iter()
+            .find(|candidate| Some(candidate.server) == owner);
+        if let Some(candidate) = owner_entry.filter(|candidate| candidate.cost <= owner_cost_limit)
+        {
+            return Some(candidate.choice(ChoiceReason::Owner));
         }
         let point = self.draw_point(rng);
-        let index = draw_by_level(&costs, work * unknown, point)?;
-        let drawn = offers.get(index)?;
+        let index = draw_by_level(&costs, work * unreported, point)?;
+        let drawn = candidates.get(index)?;
         Some(drawn.choice(ChoiceReason::Earliest))
     }
 
-    /// Where this VM draws among servers that are filled up evenly. VMs of a region draw
-    /// in stretches side by side, so that each finds its connections again and all of
-    /// them together fill the servers as chance would.
+    /// Random point at which this VM draws among evenly filled servers. The VMs of a
+    /// region draw in adjacent overlapping spans, so that each reuses its connections
+    /// and all of them together fill the servers evenly.
     fn draw_point(&self, rng: &mut impl Rng) -> f64 {
         let others = self.region_vms();
         let own = &self.place().vm;
         let rank = others.iter().filter(|vm| *vm < own).count();
         let vms = others.len() as f64 + 1.0;
-        let stretch = (STRETCH_VMS / vms).min(1.0);
-        (rank as f64 / vms + stretch * rng.random::<f64>()).fract()
+        let span = (SPAN_VMS / vms).min(1.0);
+        (rank as f64 / vms + span * rng.random::<f64>()).fract()
     }
 
-    /// What choosing another server than the prefix's own costs: it reads the prefix
-    /// anew, and pushes others' prefixes out.
-    fn reread_cost(&self, needs: &CallRequirements) -> Duration {
+    /// Cost of choosing another server than the prefix's owner: it has to prefill the
+    /// prefix again and evicts other prefixes.
+    fn reprefill_cost(&self, needs: &CallRequirements) -> Duration {
         let tokens = needs.prompt.shared_tokens();
-        let priced = self.reprefill_penalty().mul_f64(tokens as f64 / 1000.0);
-        self.prefill_time(&needs.service, tokens) + priced
+        let penalty = self.reprefill_penalty().mul_f64(tokens as f64 / 1000.0);
+        self.prefill_time(&needs.service, tokens) + penalty
     }
 
-    fn offer(
+    fn candidate_cost(
         &self,
         now: Moment,
         id: ServerId,
         needs: &CallRequirements,
         rng: &mut impl Rng,
-    ) -> ServerOffer {
+    ) -> CandidateCost {
         let predicted = self.predict(now, id, needs);
         let mut cost = if needs.engine.is_some() {
-            predicted.loaded.max(predicted.whole.mul_f64(WHOLE_PART))
+            predicted
+                .loaded
+                .max(predicted.whole.mul_f64(WHOLE_RESPONSE_WEIGHT))
         } else {
-            // Slots that are taken count before the first request has to wait.
-            let taken = f64::from(self.server(id).work().requests);
+            // Occupied slots count before the first request has to wait.
+            let occupied = f64::from(self.server(id).work().requests);
             let alone = predicted.loaded.saturating_sub(predicted.backlog);
-            alone + self.work_of(needs, 0).mul_f64(taken)
+            alone + self.work_of(needs, 0).mul_f64(occupied)
         };
         if self.server(id).is_cold(now) {
-            cost += COLD_COST;
+            cost += COLD_PENALTY;
         }
-        ServerOffer {
+        CandidateCost {
             server: id,
             predicted,
             is_late: !self.is_in_time(now, &predicted, needs),
@@ -420,18 +440,18 @@
     }
 }
 
-/// A server without regard to prefixes, and what speaks against it.
+/// Server with its cost, without regard to prefixes.
 #[derive(Clone, Copy, Debug)]
-struct ServerOffer {
+struct CandidateCost {
     server: ServerId,
     predicted: TimePrediction,
-    /// The whole answer is expected after the caller has left.
+    /// Whether the response is expected to end after the deadline.
     is_late: bool,
-    /// Seconds that choosing it costs.
+    /// Cost of choosing the server, in seconds.
     cost: f64,
 }
 
-impl ServerOffer {
+impl CandidateCost {
     fn choice(&self, reason: ChoiceReason) -> ServerChoice {
         ServerChoice {
             server: self.server,
--- a/crates/fleet/src/flow.rs
+++ b/crates/fleet/src/flow.rs
@@ -1,41 +1,41 @@
-//! A rate that fades: how much has come lately, each second.
+//! Rate measurement with exponential decay.
 
 use std::time::Duration;
 
 use onyxfall_policy::Moment;
 
-/// Measures a rate.
+/// Meter of a decaying rate.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FlowMeter {
-    /// Time in which what came fades to a third.
-    fade: Duration,
+    /// Time in which a contribution decays to 1/e.
+    decay: Duration,
     sum: f64,
     at: Moment,
 }
 
 impl FlowMeter {
-    /// Nothing came yet; what comes fades to a third in `fade`.
-    pub(crate) const fn new(fade: Duration) -> Self {
+    /// Creates a meter without contributions, which decay to 1/e in `decay`.
+    pub(crate) const fn new(decay: Duration) -> Self {
         Self {
-            fade,
+            decay,
             sum: 0.0,
             at: Moment::ZERO,
         }
     }
 
-    /// Notes that `amount` came.
+    /// Records a contribution of `amount`.
     pub(crate) fn note(&mut self, now: Moment, amount: u64) {
-        self.sum = self.faded(now) + amount as f64;
+        self.sum = self.decayed(now) + amount as f64;
         self.at = now;
     }
 
-    /// What comes each second.
+    /// Current rate per second.
     pub(crate) fn per_second(&self, now: Moment) -> f64 {
-        self.faded(now) / self.fade.as_secs_f64()
+        self.decayed(now) / self.decay.as_secs_f64()
     }
 
-    fn faded(&self, now: Moment) -> f64 {
+    fn decayed(&self, now: Moment) -> f64 {
         let age = (now - self.at).as_secs_f64();
-        self.sum * (-age / self.fade.as_secs_f64()).exp()
+        self.sum * (-age / self.decay.as_secs_f64()).exp()
     }
 }
--- a/crates/fleet/src/follow.rs
+++ b/crates/fleet/src/follow.rs
@@ -1,54 +1,59 @@
-//! Whether a copy of the store that lives on other VMs' word is still whole.
+//! Consistency check of a copy of the store that is fed by other VMs.
 //!
-//! A VM that does not watch the store takes changes from VMs that do. A change
-//! may be lost with the connection that carried it, and later ones would hide
-//! that. So each change names the revision that it follows, heartbeats name the
-//! revision and hash of their sender's copy, and a copy that misses something is
-//! read from the store again.
+//! A VM that does not watch the store applies changes that it receives from VMs that do. A
+//! change may be lost with the connection that carried it, and later changes would hide the
+//! loss. So each change carries the revision that it follows, heartbeats carry the revision
+//! and hash of their sender's copy, and a copy that lacks something is read from the store
+//! again.
 //!
-//! Invariant: a gap is remembered until everything was read.
+//! Invariant: a gap stays recorded until the whole copy was read.
 
 use std::time::Duration;
 
 use onyxfall_policy::Moment;
 
-/// How long a copy may be behind before it is read anew: longer than a change
-/// takes to come from a watcher, short against the bounds on configurations.
+/// How long a copy may be behind before it is read again: longer than a change takes to
+/// arrive from a watcher, short compared to the time limits for configuration updates.
 pub const BEHIND_LIMIT: Duration = Duration::from_millis(700);
-/// Least time between two reads for these reasons.
+/// Least time between two reads that [`CopyCheck`] causes.
 pub const CATCH_UP_PAUSE: Duration = Duration::from_secs(1);
 
-/// How long a copy may be behind before another VM's is asked for: a change takes some
-/// 0.2 s to come through two aggregators.
+/// How long a copy may be behind before another VM's copy is requested: a change takes about
+/// 0.2 s to pass through two aggregators.
 pub const ASK_LIMIT: Duration = Duration::from_millis(250);
 /// Least time between two requests for other VMs' copies.
-const ASK_PAUSE: Duration = Duration::from_millis(500);
+const REQUEST_PAUSE: Duration = Duration::from_millis(500);
 
-/// State of a copy of the store.
+/// Revision and hash of a copy of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CopyState {
-    /// Revision that it reflects.
+    /// Revision of the store that the copy reflects.
     pub revision: u64,
-    /// Hash over its items.
+    /// Hash over the items of the copy.
     pub hash: u64,
 }
 
-/// What is known of the gaps of this VM's copy.
+/// Tracks gaps in this VM's copy of the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CopyCheck {
-    newest_heard: u64,
-    /// A later revision than that of this copy, and since when it is known. Where changes
-    /// never end there is always one; it must be reached before another one counts.
+    /// Latest revision that another VM has reported.
+    newest_reported: u64,
+    /// A later revision than that of this copy, and when it was first reported. Under
+    /// constant change there always is one, so this one must be reached before another one
+    /// is awaited.
     awaited: Option<(u64, Moment)>,
+    /// Since when the copy differs from a watcher's copy of the same revision.
     differs_since: Option<Moment>,
     has_gap: bool,
+    /// When the whole copy was last read.
     read_at: Option<Moment>,
-    asked_at: Option<Moment>,
+    /// When another VM's copy was last requested.
+    requested_at: Option<Moment>,
 }
 
 impl CopyCheck {
-    /// Notes a change that follows revision `base`, taken by a copy at `own`; a
-    /// change that is not whole leaves a gap as well.
+    /// Records a change that follows revision `base` and was applied to a copy at revision
+    /// `own`. A change that is not whole leaves a gap as well.
     ///
     /// ```
     /// use onyxfall_fleet::CopyCheck;
@@ -63,21 +68,21 @@
         self.has_gap |= own < base || !is_whole;
     }
 
-    /// Notes the state of another VM's copy.
+    /// Records the state `other` of another VM's copy; `own` is the state of this VM's copy.
     pub fn record_peer_state(&mut self, now: Moment, own: CopyState, other: CopyState) {
-        self.newest_heard = self.newest_heard.max(other.revision);
+        self.newest_reported = self.newest_reported.max(other.revision);
         if self
             .awaited
             .is_some_and(|(revision, _)| own.revision >= revision)
         {
             self.awaited = None;
         }
-        if own.revision < self.newest_heard {
-            self.awaited.get_or_insert((self.newest_heard, now));
+        if own.revision < self.newest_reported {
+            self.awaited.get_or_insert((self.newest_reported, now));
         }
     }
 
-    /// Whether another VM has told of a later revision than `own`.
+    /// Whether another VM has reported a later revision than `own`.
     ///
     /// ```
     /// use onyxfall_fleet::{CopyCheck, CopyState};
@@ -89,10 +94,10 @@
     /// assert!(!check.is_outdated(8));
     /// ```
     pub fn is_outdated(&self, own: u64) -> bool {
-        own < self.newest_heard
+        own < self.newest_reported
     }
 
-    /// Compares with the copy of a VM that watches for this one.
+    /// Compares the state of this VM's copy with that of the watcher that feeds it.
     pub fn compare_with_watcher(&mut self, now: Moment, own: CopyState, watcher: CopyState) {
         if own.revision != watcher.revision {
             return;
@@ -104,8 +109,8 @@
         }
     }
 
-    /// Whether to ask a VM whose copy is whole, in state `other`, for it; `own` is this
-    /// VM's copy, none if that is not whole.
+    /// Whether to request the copy of a VM whose copy is whole and in state `other`. `own` is
+    /// the state of this VM's copy, or `None` if the copy is not whole.
     ///
     /// ```
     /// use onyxfall_fleet::{CopyCheck, CopyState};
@@ -113,11 +118,11 @@
     /// let mut check = CopyCheck::default();
     /// let other = CopyState { revision: 7, hash: 1 };
     /// assert!(check.asks(Moment::ZERO, None, other));
-    /// assert!(!check.asks(Moment::ZERO, None, other), "asked a moment ago");
+    /// assert!(!check.asks(Moment::ZERO, None, other), "requested a moment ago");
     /// ```
     pub fn asks(&mut self, now: Moment, own: Option<CopyState>, other: CopyState) -> bool {
         let lasts = |since: Option<Moment>| since.is_some_and(|since| now - since >= ASK_LIMIT);
-        let wants = match own {
+        let is_needed = match own {
             None => true,
             Some(own) => {
                 let is_older = own.revision < other.revision && lasts(self.awaited_since());
@@ -125,15 +130,15 @@
                 is_older || is_gapped
             }
         };
-        let is_rested = self.asked_at.is_none_or(|at| now - at >= ASK_PAUSE);
-        if wants && is_rested {
-            self.asked_at = Some(now);
+        let is_pause_over = self.requested_at.is_none_or(|at| now - at >= REQUEST_PAUSE);
+        if is_needed && is_pause_over {
+            self.requested_at = Some(now);
             return true;
         }
         false
     }
 
-    /// Notes that everything was read.
+    /// Records that the whole copy was read from the store.
     pub fn record_full_read(&mut self, now: Moment) {
         self.read_at = Some(now);
         self.has_gap = false;
@@ -141,15 +146,17 @@
         self.differs_since = None;
     }
 
+    /// Since when this copy has been behind.
     fn awaited_since(&self) -> Option<Moment> {
         self.awaited.map(|(_, since)| since)
     }
 
-    /// Whether everything has to be read now.
+    /// Whether the whole copy has to be read from the store now.
     pub fn is_due(&self, now: Moment) -> bool {
         let lasts = |since: Option<Moment>| since.is_some_and(|since| now - since >= BEHIND_LIMIT);
-        let is_rested = self.read_at.is_none_or(|at| now - at >= CATCH_UP_PAUSE);
-        let misses = self.has_gap || lasts(self.awaited_since()) || lasts(self.differs_since);
-        misses && is_rested
+        let is_pause_over = self.read_at.is_none_or(|at| now - at >= CATCH_UP_PAUSE);
+        let is_incomplete =
+            self.has_gap || lasts(self.awaited_since()) || lasts(self.differs_since);
+        is_incomplete && is_pause_over
     }
 }
--- a/crates/fleet/src/home.rs
+++ b/crates/fleet/src/home.rs
@@ -1,25 +1,25 @@
-//! Regions in which a request's data may live.
+//! Regions that are allowed to process a request's data.
 
 use std::fmt;
 use std::str::FromStr;
 
 use onyxfall_types::{NameError, RegionName};
 
-/// Text of a request that no region may serve; no region has this name.
-const NOWHERE: &str = "-";
+/// Text form of a set that allows no region; no region has this name.
+const NO_REGION: &str = "-";
 
-/// Regions that may serve a request.
+/// Set of the regions that may serve a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum HomeRegions {
     /// Every region.
     #[default]
     Any,
-    /// These regions only; none of them if empty.
+    /// Only these regions; none if the list is empty.
     Only(Vec<RegionName>),
 }
 
 impl HomeRegions {
-    /// The regions of a list in the configuration, where an empty one binds nothing.
+    /// Converts a list from the configuration, where an empty list allows every region.
     pub fn listed(regions: Vec<RegionName>) -> Self {
         if regions.is_empty() {
             return Self::Any;
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The regions that both allow.
+    /// The intersection of both sets.
     ///
     /// ```
     /// use onyxfall_fleet::HomeRegions;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The regions that are named.
+    /// The listed regions; empty if every region is allowed.
     pub fn named(&self) -> &[RegionName] {
         match self {
             Self::Any => &[],
@@ -67,7 +67,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Any => Ok(()),
-            Self::Only(regions) if regions.is_empty() => f.write_str(NOWHERE),
+            Self::Only(regions) if regions.is_empty() => f.write_str(NO_REGION),
             Self::Only(regions) => {
                 let names: Vec<&str> = regions.iter().map(RegionName::as_str).collect();
                 f.write_str(&names.join(","))
@@ -82,7 +82,7 @@
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         match text {
             "" => Ok(Self::Any),
-            NOWHERE => Ok(Self::Only(Vec::new())),
+            NO_REGION => Ok(Self::Only(Vec::new())),
             names => {
                 let regions: Result<_, _> = names.split(',').map(str::parse).collect();
                 Ok(Self::Only(regions?))
--- a/crates/fleet/src/life.rs
+++ b/crates/fleet/src/instance.rs
@@ -1,8 +1,8 @@
-//! Lives of backend servers.
+//! Instances of backend servers.
 //!
-//! A server that starts again may do so under the name that it had. It then knows nothing
-//! of before, so that whatever is kept of a server is kept for its life: its name and the
-//! moment of its start.
+//! A server may restart under the same name, and the new process has none of the state of
+//! the old one. State about a server is therefore kept per instance, which is identified by
+//! the server's name and its start time.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,36 +10,36 @@
 use onyxfall_types::{ServerName, stable_hash};
 use thiserror::Error;
 
-/// Between name and birth in a life's text form; no name holds it.
-const BIRTH_MARK: char = '@';
+/// Separates name and start time in the text form of an instance; no name contains it.
+const START_TIME_SEPARATOR: char = '@';
 
-/// The moment of a server's start by its own clock, in milliseconds of Unix time. Births
-/// of one name are compared with each other only.
+/// Start time of a server by its own clock, in milliseconds of Unix time. Only start times of
+/// servers of the same name are compared.
 ///
 /// ```
 /// use onyxfall_fleet::StartTime;
-/// let birth: StartTime = "1700000000000".parse().unwrap();
-/// assert!(birth > StartTime::UNKNOWN);
-/// assert_eq!(birth.to_string(), "1700000000000");
+/// let start_time: StartTime = "1700000000000".parse().unwrap();
+/// assert!(start_time > StartTime::UNKNOWN);
+/// assert_eq!(start_time.to_string(), "1700000000000");
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StartTime(u64);
 
-/// A text that is no birth.
+/// Error for a text that is not a valid start time.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("`{0}` is not a birth: expected milliseconds of Unix time")]
+#[error("`{0}` is not a start time: expected milliseconds of Unix time")]
 pub struct StartTimeError(String);
 
 impl StartTime {
-    /// Of a server that does not say when it started; before any other.
+    /// Start time of a server that does not report one; less than any other.
     pub const UNKNOWN: Self = Self(0);
 
-    /// A birth at so many milliseconds of Unix time.
+    /// Creates a start time from milliseconds of Unix time.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis)
     }
 
-    /// Milliseconds of Unix time.
+    /// The start time in milliseconds of Unix time.
     pub const fn millis(self) -> u64 {
         self.0
     }
@@ -60,28 +60,28 @@
     }
 }
 
-/// One life of a server.
+/// One instance of a server.
 ///
 /// ```
 /// use onyxfall_fleet::{StartTime, ServerInstance};
-/// let life = ServerInstance {
+/// let instance = ServerInstance {
 ///     name: "s1".parse().unwrap(),
 ///     born: StartTime::from_millis(5),
 /// };
-/// assert_eq!(life.to_string(), "s1@5");
-/// let unborn = ServerInstance { born: StartTime::UNKNOWN, ..life };
-/// assert_eq!(unborn.to_string(), "s1");
+/// assert_eq!(instance.to_string(), "s1@5");
+/// let without_start_time = ServerInstance { born: StartTime::UNKNOWN, ..instance };
+/// assert_eq!(without_start_time.to_string(), "s1");
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerInstance {
-    /// The server's name.
+    /// Name of the server.
     pub name: ServerName,
-    /// When it started.
+    /// Start time of the instance.
     pub born: StartTime,
 }
 
 impl ServerInstance {
-    /// Its hash, the same on every VM.
+    /// Hash of the instance, the same on every VM.
     pub(crate) fn hash(&self) -> u64 {
         stable_hash(&[&self.to_string()])
     }
@@ -92,6 +92,6 @@
         if self.born == StartTime::UNKNOWN {
             return fmt::Display::fmt(&self.name, f);
         }
-        write!(f, "{}{BIRTH_MARK}{}", self.name, self.born)
+        write!(f, "{}{START_TIME_SEPARATOR}{}", self.name, self.born)
     }
 }
--- a/crates/fleet/src/learn/linear.rs
+++ b/crates/fleet/src/learn/linear.rs
@@ -1,36 +1,36 @@
-//! A linear estimate that is corrected by each observation.
+//! Online linear regression.
 //!
-//! Recursive least squares with forgetting, in the form of a Kalman filter whose
-//! uncertainty never exceeds that of the prior: an input that stays the same for
-//! long cannot make the estimate unstable. Errors are taken relative to the
-//! prediction, and single outliers (a lost packet, a stalled VM) count little.
+//! Recursive least squares with exponential forgetting, in the form of a Kalman filter whose
+//! covariance never exceeds that of the prior, so that an input that stays constant for long
+//! cannot make the estimate unstable. Errors are relative to the prediction, and single
+//! outliers (a lost packet, a stalled VM) have little influence.
 //!
 //! Invariant: weights stay finite and within their bounds.
 
-/// Part of what is known that is kept at each observation: a memory of some 200. By
-/// arithmetic, five weights stay within 5 % at a noise of 30 % with it.
-const KEEP: f64 = 0.995;
-/// Usual error of one observation, relative to the prediction. On three days with a
-/// rush half of all first bytes came within 0.7 to 1.2 of the predicted time, four in
-/// five within 0.5 to 1.7.
+/// Forgetting factor per observation, which gives a memory of about 200 observations. By
+/// calculation, five weights then stay within 5 % at a noise of 30 %.
+const FORGETTING_FACTOR: f64 = 0.995;
+/// Typical error of one observation, relative to the prediction. In three measured runs with
+/// peak load, half of all first bytes arrived within 0.7 to 1.2 of the predicted time, and
+/// four in five within 0.5 to 1.7.
 const NOISE: f64 = 0.35;
-/// Least error of one observation, in units of what is estimated.
-const LEAST_NOISE: f64 = 2.0;
-/// Errors beyond this many standard deviations count as this many.
+/// Least error of one observation, in the unit of the estimate.
+const MIN_NOISE: f64 = 2.0;
+/// Errors are clamped to this many standard deviations.
 const OUTLIER: f64 = 2.0;
 /// Standard deviation of the prior, relative to its values.
 const PRIOR_SPREAD: f64 = 2.0;
-/// Weight of a new error in the running error.
+/// Weight of a new error in the mean error.
 const DRIFT_GAIN: f64 = 0.1;
-/// Running error, in standard deviations, from which the past is forgotten: the
-/// service has changed. By arithmetic, fifteen observations in a row that are half as
-/// much again as predicted reach it, and it is 4.8 times the spread that noise of the
-/// usual size gives the running error.
+/// Mean error, in standard deviations, above which the service is assumed to have changed and
+/// past observations are discarded. By calculation, 15 consecutive observations of 1.5 times
+/// the prediction reach it, and it is 4.8 times the spread of the mean error under typical
+/// noise.
 const DRIFT_LIMIT: f64 = 1.1;
-/// Observations until which a running error says nothing.
-const DRIFT_START: u32 = 20;
+/// Number of observations before the mean error is meaningful.
+const DRIFT_MIN_SAMPLES: u32 = 20;
 
-/// An estimate of `N` weights.
+/// Linear model of `N` weights, fitted online.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinearFit<const N: usize> {
     weights: [f64; N],
@@ -38,11 +38,12 @@
     prior: [f64; N],
     covariance: [[f64; N]; N],
     samples: u32,
+    /// Running mean of the error, in standard deviations.
     drift: f64,
 }
 
 impl<const N: usize> LinearFit<N> {
-    /// An estimate that knows only a prior; weights stay within `bounds`.
+    /// Creates a model with the weights of `prior`. Weights stay within `bounds`.
     ///
     /// ```
     /// use onyxfall_fleet::LinearFit;
@@ -61,7 +62,7 @@
             samples: 0,
             drift: 0.0,
         };
-        fit.forget();
+        fit.reset_covariance();
         fit
     }
 
@@ -70,55 +71,56 @@
         self.samples
     }
 
-    /// The weights.
+    /// Current weights of the model.
     pub fn weights(&self) -> &[f64; N] {
         &self.weights
     }
 
-    /// The estimate for an input.
+    /// The prediction for `input`.
     pub fn predict(&self, input: &[f64; N]) -> f64 {
         dot(&self.weights, input).max(0.0)
     }
 
-    /// Takes an observation; `doubt` of 1 is the usual trust, more is less.
-    /// Observations that are no numbers are ignored.
-    pub fn learn(&mut self, input: &[f64; N], observed: f64, doubt: f64) {
-        let is_sound = observed.is_finite() && doubt.is_finite() && observed >= 0.0;
-        if !is_sound || input.iter().any(|x| !x.is_finite()) {
+    /// Learns from an observation. A `uncertainty` of 1 gives it the normal weight, and larger
+    /// values reduce it. Observations that are not finite are ignored.
+    pub fn learn(&mut self, input: &[f64; N], observed: f64, uncertainty: f64) {
+        let is_valid = observed.is_finite() && uncertainty.is_finite() && observed >= 0.0;
+        if !is_valid || input.iter().any(|x| !x.is_finite()) {
             return;
         }
         let predicted = self.predict(input);
-        let noise = (NOISE * predicted).max(LEAST_NOISE) * doubt.max(1.0);
-        self.note_drift((observed - predicted) / noise);
-        let along = self.covariance.map(|row| dot(&row, input));
-        let variance = dot(&along, input) + noise * noise;
+        let noise = (NOISE * predicted).max(MIN_NOISE) * uncertainty.max(1.0);
+        self.update_drift((observed - predicted) / noise);
+        let cov_input = self.covariance.map(|row| dot(&row, input));
+        let variance = dot(&cov_input, input) + noise * noise;
         let limit = OUTLIER * variance.sqrt();
         let error = (observed - predicted).clamp(-limit, limit);
-        let bounds = self.bounds.iter().zip(&along);
-        for (weight, ((low, high), along)) in self.weights.iter_mut().zip(bounds) {
-            *weight = (*weight + along / variance * error).clamp(*low, *high);
+        let bounds = self.bounds.iter().zip(&cov_input);
+        for (weight, ((low, high), cov_input)) in self.weights.iter_mut().zip(bounds) {
+            *weight = (*weight + cov_input / variance * error).clamp(*low, *high);
         }
         for i in 0..N {
             for j in 0..N {
-                self.covariance[i][j] -= along[i] * along[j] / variance;
-                self.covariance[i][j] /= KEEP;
+                self.covariance[i][j] -= cov_input[i] * cov_input[j] / variance;
+                self.covariance[i][j] /= FORGETTING_FACTOR;
             }
         }
         self.bound_covariance();
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// Forgets what was observed when errors of one sign go on.
-    fn note_drift(&mut self, error: f64) {
+    /// Discards past observations when errors of one sign persist.
+    fn update_drift(&mut self, error: f64) {
         let error = error.clamp(-OUTLIER, OUTLIER);
         self.drift += DRIFT_GAIN * (error - self.drift);
-        if self.samples >= DRIFT_START && self.drift.abs() > DRIFT_LIMIT {
+        if self.samples >= DRIFT_MIN_SAMPLES && self.drift.abs() > DRIFT_LIMIT {
             self.drift = 0.0;
-            self.forget();
+            self.reset_covariance();
         }
     }
 
-    fn forget(&mut self) {
+    /// Resets the covariance to that of the prior, so that new observations dominate.
+    fn reset_covariance(&mut self) {
         self.covariance = [[0.0; N]; N];
         for i in 0..N {
             self.covariance[i][i] = self.prior_variance(i);
@@ -129,13 +131,13 @@
         (PRIOR_SPREAD * self.prior[i]).powi(2)
     }
 
-    /// Scales what has become more uncertain than the prior back to it.
+    /// Scales variances that exceed those of the prior back to the prior.
     fn bound_covariance(&mut self) {
         for i in 0..N {
-            let most = self.prior_variance(i);
-            let now = self.covariance[i][i];
-            if now > most {
-                let scale = (most / now).sqrt();
+            let limit = self.prior_variance(i);
+            let variance = self.covariance[i][i];
+            if variance > limit {
+                let scale = (limit / variance).sqrt();
                 for j in 0..N {
                     self.covariance[i][j] *= scale;
                     self.covariance[j][i] *= scale;
@@ -145,6 +147,7 @@
     }
 }
 
+/// Dot product of two vectors.
 pub(crate) fn dot<const N: usize>(a: &[f64; N], b: &[f64; N]) -> f64 {
     a.iter().zip(b).map(|(a, b)| a * b).sum()
 }
--- a/crates/fleet/src/learn/mod.rs
+++ b/crates/fleet/src/learn/mod.rs
@@ -1,19 +1,19 @@
-//! What servers and links cost, learned from answers.
+//! Cost models of servers and connections, learned from responses.
 //!
-//! Pure: observations go in, estimates come out, without a clock. Nothing is
-//! known of a service at first; a prior stands in until tens of answers have
-//! come, and what other VMs have learned counts by the number of their answers.
+//! Pure code without I/O and clock: observations go in, estimates come out. A service starts
+//! with a prior, which dominates until tens of responses were observed. Estimates of other
+//! VMs are weighted by the number of responses behind them.
 
-mod answer;
 mod engine;
 mod linear;
 mod plain;
+mod response;
 mod service;
 mod trip;
 
-pub use answer::ResponseLengths;
 pub use engine::{EngineCosts, EngineLoad};
 pub use linear::LinearFit;
 pub use plain::PlainCosts;
+pub use response::ResponseLengths;
 pub use service::{CostReport, CostSource, CostView, ServiceCosts};
 pub use trip::RoundTrips;
--- a/crates/fleet/src/learn/plain.rs
+++ b/crates/fleet/src/learn/plain.rs
@@ -1,26 +1,26 @@
-//! Time of a plain service, whose servers run a few requests at once.
+//! Cost model of plain services, whose servers run a few requests at once.
 
 use std::time::Duration;
 
-/// Time that a request takes before any answer was seen, in milliseconds: between
-/// a look-up and a page.
+/// Prior of the request time in milliseconds, between that of a lookup and that of a page.
 const PRIOR_MS: f64 = 25.0;
-/// Least weight of a new answer, so that some thirty answers are remembered.
-const LEAST_GAIN: f64 = 0.03;
-/// Answers that are this many times off count as this many times.
+/// Least weight of a new response, which gives a memory of about 30 responses.
+const MIN_GAIN: f64 = 0.03;
+/// Deviations from the estimate are clamped to this factor.
 const OUTLIER: f64 = 3.0;
 /// Bounds of the estimate, in milliseconds.
 const BOUNDS_MS: (f64, f64) = (0.1, 60_000.0);
 
-/// A time within its bounds; what is no number becomes the least.
+/// Clamps a time to its bounds; NaN becomes the lower bound.
 pub(crate) fn bound_plain(ms: f64) -> f64 {
-    // `max` takes the bound if the time is no number.
+    // `max` returns the bound if the time is NaN.
     ms.max(BOUNDS_MS.0).min(BOUNDS_MS.1)
 }
 
-/// What the servers of a plain service cost.
+/// Learned request time of the servers of a plain service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlainCosts {
+    /// Mean logarithm of the request time in milliseconds.
     log_ms: f64,
     samples: u32,
 }
@@ -35,7 +35,7 @@
 }
 
 impl PlainCosts {
-    /// An estimate made elsewhere.
+    /// Creates an estimate from a time that was learned elsewhere.
     pub(crate) fn with_time(ms: f64) -> Self {
         Self {
             log_ms: bound_plain(ms).ln(),
@@ -43,18 +43,18 @@
         }
     }
 
-    /// Number of answers so far.
+    /// Number of responses observed so far.
     pub fn samples(&self) -> u32 {
         self.samples
     }
 
-    /// Expected milliseconds of one request that need not wait.
+    /// Expected time of one request in milliseconds, without waiting for a slot.
     pub fn service_ms(&self) -> f64 {
         self.log_ms.exp()
     }
 
-    /// Takes an answer: how long a request took that waited for `turns` in all,
-    /// its own included.
+    /// Learns from a request that took `took` over `turns` successive uses of a slot, its own
+    /// included.
     ///
     /// ```
     /// use onyxfall_fleet::PlainCosts;
@@ -69,7 +69,7 @@
         let ms = ms.clamp(BOUNDS_MS.0, BOUNDS_MS.1);
         let error = (ms.ln() - self.log_ms).clamp(-OUTLIER.ln(), OUTLIER.ln());
         self.samples = self.samples.saturating_add(1);
-        let gain = (1.0 / f64::from(self.samples)).max(LEAST_GAIN);
+        let gain = (1.0 / f64::from(self.samples)).max(MIN_GAIN);
         self.log_ms += gain * error;
     }
 }
--- a/crates/fleet/src/learn/service.rs
+++ b/crates/fleet/src/learn/service.rs
@@ -1,4 +1,4 @@
-//! What is known of one service: learned here, and told by other VMs.
+//! Cost model of one service, combined from this VM's observations and reports of other VMs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,75 +9,75 @@
 use super::engine::{EngineCosts, EngineLoad, bound_first, bound_pace};
 use super::plain::{PlainCosts, bound_plain};
 
-/// Answers of one VM that count at most, so that one that has seen many does not
-/// outweigh news.
-const MOST_SAMPLES: u32 = 200;
-/// Age at which what another VM told counts no longer.
-const REPORT_LIFE: Duration = Duration::from_secs(20);
+/// Most responses of one VM that count, so that a VM with many responses does not outweigh
+/// recent observations.
+const MAX_SAMPLES: u32 = 200;
+/// Age at which a report of another VM expires.
+const REPORT_TTL: Duration = Duration::from_secs(20);
 
-/// VMs that one report stands for at most.
-const MOST_VMS: u32 = 4096;
+/// Most VMs that one report can represent.
+const MAX_VMS: u32 = 4096;
 
-/// Who tells a report.
+/// Source of a cost report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CostSource {
-    /// A VM, of what it has learned itself.
+    /// A VM that reports its own observations.
     Member,
-    /// A VM, of what others have learned.
+    /// A VM that reports observations of others.
     Aggregator,
 }
 
-/// Whose answers a report of this VM rests on.
+/// Set of VMs whose observations a report of this VM contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CostView {
-    /// Its own.
+    /// This VM only.
     Own,
-    /// Its own and those of VMs that tell theirs to it.
+    /// This VM and the VMs that report their own observations to it.
     Partial,
-    /// Those of every VM.
+    /// All VMs.
     All,
 }
 
-/// What one VM, or several together, have learned of a service.
+/// Costs of a service as learned by one VM or by several VMs together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CostReport {
-    /// VMs behind it; 0 stands for one.
+    /// Number of VMs that the report represents; 0 counts as 1.
     pub vms: u32,
-    /// Weights of the time to a first byte.
+    /// Weights of the time to first byte.
     pub first: [f64; 5],
-    /// Answers behind them.
+    /// Responses behind `first`.
     pub first_samples: u32,
-    /// Weights of the time between events.
+    /// Weights of the interval between events.
     pub pace: [f64; 3],
-    /// Answers behind them.
+    /// Responses behind `pace`.
     pub pace_samples: u32,
-    /// Milliseconds of a request to a plain service.
+    /// Time of a request to a plain service in milliseconds.
     pub plain_ms: f64,
-    /// Answers behind it.
+    /// Responses behind `plain_ms`.
     pub plain_samples: u32,
 }
 
 impl CostReport {
-    /// The same with every figure within its bounds.
+    /// The report with every figure clamped to its bounds.
     fn bounded(self) -> Self {
         Self {
             first: bound_first(&self.first),
             pace: bound_pace(&self.pace),
             plain_ms: bound_plain(self.plain_ms),
-            vms: self.vms.clamp(1, MOST_VMS),
+            vms: self.vms.clamp(1, MAX_VMS),
             ..self
         }
     }
 
-    /// Answers that count: of each VM only so many.
+    /// Number of responses that count, at most [`MAX_SAMPLES`] for each VM.
     fn weight(&self, samples: u32) -> f64 {
-        f64::from(samples.min(MOST_SAMPLES.saturating_mul(self.vms.max(1))))
+        f64::from(samples.min(MAX_SAMPLES.saturating_mul(self.vms.max(1))))
     }
 }
 
-/// What other VMs have learned, merged.
+/// Merged reports of other VMs.
 #[derive(Clone, Debug, Default)]
-struct ToldCosts {
+struct RemoteCosts {
     engine: EngineCosts,
     first_samples: f64,
     pace_samples: f64,
@@ -85,7 +85,7 @@
     plain_samples: f64,
 }
 
-/// Sums of reports, each by the answers behind it.
+/// Sums of reports, weighted by the responses behind each.
 #[derive(Clone, Copy, Debug, Default)]
 struct CostSums {
     first: [f64; 5],
@@ -98,6 +98,7 @@
 }
 
 impl CostSums {
+    /// Adds a report.
     fn add(mut self, report: &CostReport) -> Self {
         let first = report.weight(report.first_samples);
         let pace = report.weight(report.pace_samples);
@@ -112,6 +113,7 @@
         self
     }
 
+    /// Weighted mean of the added reports.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     fn mean(&self) -> CostReport {
         CostReport {
@@ -126,82 +128,84 @@
     }
 }
 
+/// A report of another VM.
 #[derive(Clone, Copy, Debug)]
-struct HeardReport {
-    heard: Moment,
-    teller: CostSource,
+struct ReceivedReport {
+    received: Moment,
+    source: CostSource,
     report: CostReport,
 }
 
-/// What is known of one service.
+/// Costs of one service.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceCosts {
     engine: EngineCosts,
     plain: PlainCosts,
-    reports: BTreeMap<VmName, HeardReport>,
-    told: ToldCosts,
+    reports: BTreeMap<VmName, ReceivedReport>,
+    /// Merged `reports`.
+    remote: RemoteCosts,
 }
 
 impl ServiceCosts {
-    /// Expected milliseconds to a first byte of a model server.
+    /// Expected time to first byte of a model server in milliseconds.
     pub fn first_ms(&self, load: &EngineLoad) -> f64 {
         let own = self.engine.first_ms(load);
-        let told = self.told.engine.first_ms(load);
+        let remote = self.remote.engine.first_ms(load);
         mean(
             own,
             self.engine.first.samples(),
-            told,
-            self.told.first_samples,
+            remote,
+            self.remote.first_samples,
         )
     }
 
-    /// Expected milliseconds between two events of an answer with so many gaps; none
-    /// before any was seen.
+    /// Expected interval between two events in milliseconds, for a response with `gaps`
+    /// intervals; `None` before any interval was observed.
     pub fn pace_ms(&self, load: &EngineLoad, gaps: f64) -> Option<f64> {
         let own = self.engine.pace.samples();
-        if own == 0 && self.told.pace_samples == 0.0 {
+        if own == 0 && self.remote.pace_samples == 0.0 {
             return None;
         }
-        let told = self.told.engine.pace_ms(load, gaps);
+        let remote = self.remote.engine.pace_ms(load, gaps);
         Some(mean(
             self.engine.pace_ms(load, gaps),
             own,
-            told,
-            self.told.pace_samples,
+            remote,
+            self.remote.pace_samples,
         ))
     }
 
-    /// Milliseconds that a model server takes to read `tokens` of a prompt.
+    /// Expected time of a model server to prefill `tokens` of a prompt in milliseconds.
     pub fn read_ms(&self, tokens: u64) -> f64 {
         let own = self.engine.read_ms(tokens);
-        let told = self.told.engine.read_ms(tokens);
+        let remote = self.remote.engine.read_ms(tokens);
         mean(
             own,
             self.engine.first.samples(),
-            told,
-            self.told.first_samples,
+            remote,
+            self.remote.first_samples,
         )
     }
 
-    /// Expected milliseconds of a request to a plain service.
+    /// Expected time of a request to a plain service in milliseconds.
     pub fn plain_ms(&self) -> f64 {
-        let (own, told) = (self.plain.service_ms(), self.told.plain.service_ms());
-        mean(own, self.plain.samples(), told, self.told.plain_samples)
+        let (own, remote) = (self.plain.service_ms(), self.remote.plain.service_ms());
+        mean(own, self.plain.samples(), remote, self.remote.plain_samples)
     }
 
-    /// What was learned here, to correct it.
+    /// This VM's own cost model of model servers, for learning.
     pub fn engine_mut(&mut self) -> &mut EngineCosts {
         &mut self.engine
     }
 
-    /// What was learned here of a plain service, to correct it.
+    /// This VM's own request time of a plain service, for learning.
     pub fn plain_mut(&mut self) -> &mut PlainCosts {
         &mut self.plain
     }
 
-    /// What this VM tells others. A report of others' answers goes only to VMs that
-    /// do not tell it back, so that no figure comes back as news. None before the
-    /// first answer.
+    /// Report of this VM to others; `None` before the first response. A report that contains
+    /// observations of others must go only to VMs that do not report them back, so that no
+    /// observation counts twice.
     pub fn report(&self, view: CostView) -> Option<CostReport> {
         let own = CostReport {
             vms: 1,
@@ -215,12 +219,12 @@
         let others = self
             .reports
             .values()
-            .filter(|heard| match view {
+            .filter(|received| match view {
                 CostView::Own => false,
-                CostView::Partial => heard.teller == CostSource::Member,
+                CostView::Partial => received.source == CostSource::Member,
                 CostView::All => true,
             })
-            .map(|heard| &heard.report);
+            .map(|received| &received.report);
         let sums = others.fold(CostSums::default().add(&own), CostSums::add);
         let mut report = sums.mean();
         if report.first_samples == 0 {
@@ -235,24 +239,25 @@
         (report.first_samples + report.plain_samples > 0).then_some(report)
     }
 
-    /// Takes what another VM tells; whether a figure was absurd and had to be bounded.
-    pub fn hear(
+    /// Records a report of another VM. Returns whether a figure was out of bounds and had to be
+    /// clamped.
+    pub fn receive(
         &mut self,
         now: Moment,
         vm: &VmName,
-        teller: CostSource,
+        source: CostSource,
         report: CostReport,
     ) -> bool {
         let bounded = report.bounded();
-        let heard = HeardReport {
-            heard: now,
-            teller,
+        let received = ReceivedReport {
+            received: now,
+            source,
             report: bounded,
         };
-        self.reports.insert(vm.clone(), heard);
+        self.reports.insert(vm.clone(), received);
         self.reports
-            .retain(|_, held| now - held.heard < REPORT_LIFE);
-        self.told = merge(self.reports.values().map(|held| &held.report));
+            .retain(|_, received| now - received.received < REPORT_TTL);
+        self.remote = merge(self.reports.values().map(|received| &received.report));
         let is_same = CostReport {
             vms: bounded.vms,
             ..report
@@ -261,20 +266,21 @@
     }
 }
 
-/// The mean of an estimate of this VM and of others', by their answers.
-fn mean(own: f64, own_samples: u32, told: f64, told_samples: f64) -> f64 {
-    let weight = f64::from(own_samples.min(MOST_SAMPLES));
-    let total = weight + told_samples;
+/// Mean of an estimate of this VM and one of other VMs, weighted by the responses behind each.
+fn mean(own: f64, own_samples: u32, remote: f64, remote_samples: f64) -> f64 {
+    let weight = f64::from(own_samples.min(MAX_SAMPLES));
+    let total = weight + remote_samples;
     if total <= 0.0 {
         return own;
     }
-    (own * weight + told * told_samples) / total
+    (own * weight + remote * remote_samples) / total
 }
 
-fn merge<'a>(reports: impl Iterator<Item = &'a CostReport>) -> ToldCosts {
+/// Merges reports of other VMs.
+fn merge<'a>(reports: impl Iterator<Item = &'a CostReport>) -> RemoteCosts {
     let sums = reports.fold(CostSums::default(), CostSums::add);
     let mean = sums.mean();
-    ToldCosts {
+    RemoteCosts {
         engine: EngineCosts::with_weights(&mean.first, &mean.pace),
         first_samples: sums.first_samples,
         pace_samples: sums.pace_samples,
@@ -283,6 +289,7 @@
     }
 }
 
+/// Adds `weights`, multiplied by `factor`, to `sum`.
 fn add<const N: usize>(sum: &mut [f64; N], weights: &[f64; N], factor: f64) {
     for (sum, weight) in sum.iter_mut().zip(weights) {
         *sum += weight * factor;
--- a/crates/fleet/src/learn/trip.rs
+++ b/crates/fleet/src/learn/trip.rs
@@ -1,34 +1,34 @@
-//! Round trips to other regions, from how long connections take to come up.
+//! Round-trip times to other regions, measured when connections are established.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use onyxfall_types::RegionName;
 
-/// Connections of a region that are remembered. The shortest counts: it met no
-/// busy VM and no lost packet.
-const REMEMBERED: usize = 8;
-/// Round trip to a region to which no connection came up yet: neighbouring
-/// continents. It decides nothing for long, since every VM greets all others.
+/// Most connection times that are kept for a region. The shortest is used, since no busy VM
+/// and no lost packet has prolonged it.
+const MAX_SAMPLES: usize = 8;
+/// Round-trip time to a region before the first connection, that between neighbouring
+/// continents. It is used only briefly, since every VM connects to all others.
 const PRIOR: Duration = Duration::from_millis(100);
-/// Connections that took longer say nothing of the distance.
-const LONGEST: Duration = Duration::from_secs(3);
-/// Limit of a first dial, in round trips, and the time that a VM may be without
-/// its processor. A lost opening packet is sent again by the kernel after a
-/// second, and so late came the first link after a loss of power without this limit.
+/// Connection times above this say nothing about the distance.
+const MAX_CONNECT_TIME: Duration = Duration::from_secs(3);
+/// Timeout of a first dial, in round trips, and an allowance for a VM that is not scheduled.
+/// The kernel retransmits a lost SYN packet only after 1 s, and without this timeout the first
+/// connection after a power loss came that late.
 const DIAL_TRIPS: f64 = 1.5;
 const DIAL_SLACK: Duration = Duration::from_millis(20);
-/// Longest limit of a dial.
-const LONGEST_DIAL: Duration = Duration::from_millis(1500);
+/// Longest timeout of a dial.
+const MAX_DIAL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Round trips by region.
+/// Round-trip times by region.
 #[derive(Clone, Debug, Default)]
 pub struct RoundTrips {
     regions: BTreeMap<RegionName, VecDeque<Duration>>,
 }
 
 impl RoundTrips {
-    /// Notes that a connection to a region came up after `took`.
+    /// Records that a connection to a region was established after `took`.
     ///
     /// ```
     /// use onyxfall_fleet::RoundTrips;
@@ -40,31 +40,33 @@
     /// assert_eq!(trips.to(&far), Duration::from_millis(160));
     /// ```
     pub fn note(&mut self, region: &RegionName, took: Duration) {
-        if took > LONGEST {
+        if took > MAX_CONNECT_TIME {
             return;
         }
-        let taken = self.regions.entry(region.clone()).or_default();
-        if taken.len() >= REMEMBERED {
-            taken.pop_front();
+        let samples = self.regions.entry(region.clone()).or_default();
+        if samples.len() >= MAX_SAMPLES {
+            samples.pop_front();
         }
-        taken.push_back(took);
+        samples.push_back(took);
     }
 
-    /// Expected round trip to a region.
+    /// Expected round-trip time to a region.
     pub fn to(&self, region: &RegionName) -> Duration {
         let shortest = self
             .regions
             .get(region)
-            .and_then(|taken| taken.iter().min());
+            .and_then(|samples| samples.iter().min());
         shortest.copied().unwrap_or(PRIOR)
     }
 
-    /// How long to wait for a connection to a region, or to a VM whose region is
-    /// unknown, after `failures` in a row: twice as long each time.
+    /// Dial timeout for a region, or for a VM whose region is unknown, after `failures` in a
+    /// row. Each failure doubles the timeout.
     pub fn dial_limit(&self, region: Option<&RegionName>, failures: u32) -> Duration {
         let longest = || self.regions.keys().map(|region| self.to(region)).max();
         let trip = region.map_or_else(|| longest().unwrap_or(PRIOR), |region| self.to(region));
         let first = trip.mul_f64(DIAL_TRIPS) + DIAL_SLACK;
-        first.saturating_mul(1 << failures.min(8)).min(LONGEST_DIAL)
+        first
+            .saturating_mul(1 << failures.min(8))
+            .min(MAX_DIAL_TIMEOUT)
     }
 }
--- a/crates/fleet/src/level.rs
+++ b/crates/fleet/src/level.rs
@@ -1,12 +1,14 @@
-//! Drawing one of several servers so that many VMs together fill them evenly.
+//! Randomised choice among servers that lets many VMs together fill them evenly.
 //!
-//! VMs decide by knowledge of the same age. If all of them took the server that looks
-//! best, it would get everything that comes until its work is known, and overflow. So
-//! each VM draws: with the work that all others are expected to bring until then, the
-//! least loaded servers are filled up to one level, and a server is drawn by what it
-//! is filled up with. Without such work the best server is taken.
+//! VMs decide on load data of the same age. If all of them chose the least loaded
+//! server, it would get every request until its load is known, and overflow. Each VM
+//! therefore draws at random: the work that all other VMs are expected to add until
+//! then is distributed over the least loaded servers up to a common level, and a server
+//! is drawn with a probability in proportion to its part of this work. Without such
+//! work the least loaded server is chosen.
 
-/// The level up to which `work` fills the cheapest servers; infinite if there is none.
+/// Level up to which `work` fills the servers with the lowest cost; infinite if there
+/// is no server.
 pub(crate) fn fill_level(costs: &[f64], work: f64) -> f64 {
     let mut ranked = costs.to_vec();
     ranked.sort_unstable_by(f64::total_cmp);
@@ -22,12 +24,12 @@
     level
 }
 
-/// Index of the server drawn by `point` of 0 to 1; none if there is no server. `costs`
-/// and `work` are in the same unit.
+/// Index of the server drawn by `point`, from 0 to 1; none if there is no server.
+/// `costs` and `work` are in the same unit.
 ///
 /// ```
 /// use onyxfall_fleet::draw_by_level;
-/// // Filled up to a level of 4: three parts of four to the first, one to the second.
+/// // Filled up to a level of 4: three quarters on the first server, one on the second.
 /// let costs = [1.0, 3.0, 9.0];
 /// assert_eq!(draw_by_level(&costs, 4.0, 0.7), Some(0));
 /// assert_eq!(draw_by_level(&costs, 4.0, 0.8), Some(1));
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,41 +1,40 @@
-//! Decisions over a fleet of backend servers that come and go by themselves.
+//! Routing decisions over a dynamic fleet of backend servers.
 //!
-//! Pure code: no I/O, no clock. The store's items enter through [`StoreMirror`],
-//! servers live in [`FleetView`], and a request asks [`FleetView::choose`] and
-//! [`RemoteTable::best`] where to go. Limits that all VMs share ([`RetryShare`],
-//! [`ColdShare`], [`QuotaTable`]) are split so that no coordination is needed.
+//! Pure code: no I/O, no clock. Store items enter through [`StoreMirror`], servers are
+//! kept in [`FleetView`], and requests are routed by [`FleetView::choose`] and
+//! [`RemoteTable::best`]. Limits shared by all VMs ([`RetryShare`], [`ColdShare`],
+//! [`QuotaTable`]) are split so that no coordination is needed.
 
-mod away;
 mod backup;
 mod balance;
 mod budget;
+mod cached_prefixes;
 mod call;
 mod choose;
 mod cold;
 mod flow;
 mod follow;
 mod home;
-mod kept;
+mod instance;
 mod learn;
 mod level;
-mod life;
 mod limit;
+mod liveness;
 mod mirror;
 mod pools;
 mod predict;
 mod quota;
 mod record;
+mod remote;
 mod route;
 mod server;
-mod signs;
+mod signals;
 mod switches;
 mod team;
 mod version;
 mod view;
-mod word;
 mod work;
 
-pub use away::{RemoteOption, RemoteSearch, RemoteTable, ServiceLoad, goes_remote};
 pub use backup::BackupDecision;
 pub use balance::RateKind;
 pub use budget::{BudgetLimits, RetryShare};
@@ -44,28 +43,29 @@
 pub use cold::{ColdShare, SENDERS, is_cold_sender};
 pub use follow::{ASK_LIMIT, BEHIND_LIMIT, CATCH_UP_PAUSE, CopyCheck, CopyState};
 pub use home::HomeRegions;
+pub use instance::{ServerInstance, StartTime, StartTimeError};
 pub use learn::{
     CostReport, CostSource, CostView, EngineCosts, EngineLoad, LinearFit, PlainCosts,
     ResponseLengths, RoundTrips, ServiceCosts,
 };
 pub use level::draw_by_level;
-pub use life::{ServerInstance, StartTime, StartTimeError};
 pub use limit::{LimitReports, LimitSignal};
+pub use liveness::ServerVotes;
 pub use mirror::{
     MirrorChange, MirrorDelta, RETURN_WINDOW, StoreEvent, StoreHealth, StoreItem, StoreMirror,
 };
-pub use pools::LEAST_WORKING;
+pub use pools::MIN_WORKING;
 pub use predict::TimePrediction;
 pub use quota::{QuotaDecision, QuotaPeers, QuotaSettings, QuotaTable};
 pub use record::{ServerPhase, ServerRecord};
+pub use remote::{RemoteOption, RemoteSearch, RemoteTable, ServiceLoad, goes_remote};
 pub use route::{
     BackendService, CallerLimits, ConfigVersion, EngineLimits, RepeatRule, ResponseShape,
     RouteRule, RouteTable, RouteTarget,
 };
 pub use server::{AttemptResult, ServerState};
-pub use signs::ServerVotes;
+pub use signals::{BackoffSignal, ServerSignals, SignalChanges};
 pub use switches::{ChoicePolicy, DecisionSwitch, DecisionSwitches, QuotaMode, UnknownName};
 pub use team::{KeyDigest, QuotaLimit, QuotaUnit, TeamRule, TeamTable};
 pub use view::{FleetView, REPREFILL_PENALTY, VmLocation};
-pub use word::{BackoffSignal, ServerSignals, SignalChanges};
 pub use work::{PrefillTokens, URGENCIES, WorkShare};
--- a/crates/fleet/src/limit.rs
+++ b/crates/fleet/src/limit.rs
@@ -1,13 +1,14 @@
-//! Rate limits that servers in need name for all VMs together.
+//! Rate limits that overloaded servers set for all VMs together.
 //!
-//! A server names its limit in each answer for as long as it has one. A VM goes by its own
-//! last answer; without one, by the mean of what the other VMs of the region report. Only
-//! the VMs that rank first for the server by rendezvous hashing send to it, each at an equal
-//! share of the rate and without bursts: the total stays below the limit however many VMs
-//! the region has.
+//! A server states its limit in each response for as long as the limit is in force. A VM
+//! uses the limit of its own last response or, without one, the mean of what the other VMs
+//! of the region report. Only the VMs that rank first for the server by rendezvous hashing
+//! send to it, each at an equal share of the rate and without bursts, so that the total
+//! stays below the limit however many VMs the region has.
 //!
-//! Invariants: a limit ends with an answer to a request that was sent after the last one
-//! that named it, or [`NAMED_LIFE`] after that; reports of other VMs are never forwarded.
+//! Invariants: a limit ends with a response without a limit to a request that was sent after
+//! the last response that stated it, or [`LIMIT_TTL`] after that response; reports of other
+//! VMs are never forwarded.
 
 use std::time::Duration;
 
@@ -17,51 +18,51 @@
 use crate::cold::sender_rank;
 use crate::view::FleetView;
 
-/// Lifetime of a limit that no later answer has confirmed or ended; longer than the longest
+/// Lifetime of a limit that no later response has confirmed or ended; longer than the longest
 /// pause between two requests of one sender.
-const NAMED_LIFE: Duration = Duration::from_secs(12);
-/// Time for which an own answer without a limit overrides reports of other VMs.
-const LIFTED_LIFE: Duration = Duration::from_secs(2);
-/// Requests a second that a sender makes at least: only an answer tells that a limit has
+const LIMIT_TTL: Duration = Duration::from_secs(12);
+/// Time for which a response without a limit overrides the reports of other VMs.
+const LIFTED_TTL: Duration = Duration::from_secs(2);
+/// Least rate of a sender, in requests a second: only a response shows that a limit has
 /// ended.
-const LEAST_SHARE: f64 = 0.1;
+const MIN_SENDER_RATE: f64 = 0.1;
 /// Largest limit that is reported, in requests a second.
-const MOST_REPORTED: f64 = 1e6;
-/// VMs that may send to a server that takes less than one request a second.
-const LEAST_SENDERS: usize = 2;
+const MAX_REPORTED_RATE: f64 = 1e6;
+/// VMs that may send to a server whose limit is less than one request a second.
+const MIN_SENDERS: usize = 2;
 
-/// Whether a server names in an answer how many requests a second it takes.
+/// Rate limit stated in a response of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum LimitSignal {
-    /// It names none.
+    /// The response states no limit.
     #[default]
     None,
-    /// It takes so many, from all VMs together.
+    /// The server accepts this rate from all VMs together.
     Rate(RequestRate),
-    /// It names something that is no rate.
+    /// The stated limit cannot be parsed.
     Malformed,
 }
 
-/// Limits of one server as several VMs have read them, summed up.
+/// Sum of the limits that several VMs have read from responses of one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LimitReports {
-    /// VMs that report one.
+    /// Number of VMs that report a limit.
     pub vms: u32,
-    /// Sum of the limits, in thousandths of a request a second.
+    /// Sum of the reported limits, in thousandths of a request a second.
     pub thousandths: u64,
 }
 
 impl LimitReports {
-    /// The report of one VM.
+    /// The report of one VM that has read `rate`.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     fn of(rate: RequestRate) -> Self {
         Self {
             vms: 1,
-            thousandths: (rate.per_second().min(MOST_REPORTED) * 1e3).round() as u64,
+            thousandths: (rate.per_second().min(MAX_REPORTED_RATE) * 1e3).round() as u64,
         }
     }
 
-    /// Mean of the limits; none without a report.
+    /// Mean of the reported limits; `None` without a report.
     ///
     /// ```
     /// use onyxfall_fleet::LimitReports;
@@ -74,7 +75,7 @@
         RequestRate::new(self.thousandths as f64 / 1e3 / vms)
     }
 
-    /// Both together.
+    /// Sum of both reports.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The rest without a part.
+    /// The sum without `part`.
     #[must_use]
     pub fn without(self, part: Self) -> Self {
         Self {
@@ -93,29 +94,30 @@
     }
 }
 
-/// What this VM has read of the limit of one life of a server, and when it sent there.
+/// Rate limit of one server instance as this VM has read it, and the time of the last send.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServerLimit {
-    named: Option<(RequestRate, Moment)>,
-    /// When an answer last showed that there is none.
+    /// The last stated limit, and when it was read.
+    stated: Option<(RequestRate, Moment)>,
+    /// When a response last showed that the limit has ended.
     lifted: Option<Moment>,
     /// When the last request was sent.
     sent: Option<Moment>,
 }
 
 impl ServerLimit {
-    /// Takes the limit of an answer to a request that was sent at `sent`. Without that
-    /// moment the answer belongs to another request and does not end a limit.
-    pub(crate) fn take(&mut self, now: Moment, word: LimitSignal, sent: Option<Moment>) {
-        match word {
+    /// Applies the limit of a response to a request that was sent at `sent`. Without `sent`
+    /// the response belongs to another request and does not end a limit.
+    pub(crate) fn apply(&mut self, now: Moment, signal: LimitSignal, sent: Option<Moment>) {
+        match signal {
             LimitSignal::Rate(rate) => {
-                self.named = Some((rate, now));
+                self.stated = Some((rate, now));
                 self.lifted = None;
             }
             LimitSignal::None => {
-                let is_later = |sent| self.named.is_none_or(|(_, named)| sent > named);
+                let is_later = |sent| self.stated.is_none_or(|(_, stated)| sent > stated);
                 if sent.is_some_and(is_later) {
-                    self.named = None;
+                    self.stated = None;
                     self.lifted = Some(now);
                 }
             }
@@ -123,25 +125,26 @@
         }
     }
 
-    /// Notes that a request is sent.
+    /// Records that a request is sent.
     pub(crate) fn note_sent(&mut self, now: Moment) {
         self.sent = Some(now);
     }
 
-    /// What this VM reports to others.
+    /// The report of this VM to other VMs.
     pub(crate) fn report(&self, now: Moment) -> LimitReports {
         self.own_rate(now)
             .map_or(LimitReports::default(), LimitReports::of)
     }
 
+    /// The limit that this VM has read itself, if it has not expired.
     fn own_rate(&self, now: Moment) -> Option<RequestRate> {
-        let (rate, named) = self.named?;
-        (now - named < NAMED_LIFE).then_some(rate)
+        let (rate, stated) = self.stated?;
+        (now - stated < LIMIT_TTL).then_some(rate)
     }
 
-    /// The limit in force, given the reports of other VMs.
+    /// The limit in force, given the `reports` of other VMs.
     pub(crate) fn rate(&self, now: Moment, reports: LimitReports) -> Option<RequestRate> {
-        let is_lifted = self.lifted.is_some_and(|at| now - at < LIFTED_LIFE);
+        let is_lifted = self.lifted.is_some_and(|at| now - at < LIFTED_TTL);
         match self.own_rate(now) {
             Some(rate) => Some(rate),
             None if is_lifted => None,
@@ -149,7 +152,7 @@
         }
     }
 
-    /// Time until a VM that sends `share` requests a second may send the next one.
+    /// Time until a VM that sends `share` requests a second may send the next request.
     fn wait(&self, now: Moment, share: f64) -> Duration {
         let pause = Duration::from_secs_f64(1.0 / share);
         self.sent
@@ -158,8 +161,8 @@
 }
 
 impl FleetView {
-    /// Takes the limit of an answer to a request that was sent at `sent`; without that
-    /// moment the answer belongs to another request.
+    /// Applies the limit of a response to a request that was sent at `sent`. Without `sent`
+    /// the response belongs to another request and does not end a limit.
     ///
     /// ```
     /// use onyxfall_fleet::{FleetView, LimitSignal, VmLocation};
@@ -195,20 +198,20 @@
         &mut self,
         now: Moment,
         id: ServerId,
-        word: LimitSignal,
+        signal: LimitSignal,
         sent: Option<Moment>,
     ) {
         let id = self.same_instance(id);
-        self.server_mut(id).limit_mut().take(now, word, sent);
+        self.server_mut(id).limit_mut().apply(now, signal, sent);
     }
 
-    /// Whether the limit of a server lets this VM send to it now.
+    /// Whether the limit of server `id` lets this VM send to it now.
     pub fn is_within_limit(&self, now: Moment, id: ServerId) -> bool {
         self.limit_wait(now, id).is_zero()
     }
 
-    /// Time until the limit of a server lets this VM send to it; for a VM that is no sender,
-    /// the interval at which the server accepts requests.
+    /// Time until the limit of server `id` lets this VM send to it; for a VM that is not a
+    /// sender, the interval at which the server accepts requests.
     pub(crate) fn limit_wait(&self, now: Moment, id: ServerId) -> Duration {
         let server = self.server(id);
         let Some(rate) = server.limit(now) else {
@@ -217,23 +220,23 @@
         let (own, others) = (&self.place().vm, self.region_vms());
         let senders = sender_count(rate);
         if sender_rank("limit", &server.record.name, own, others) >= senders {
-            return Duration::from_secs_f64(1.0 / rate.per_second().max(LEAST_SHARE));
+            return Duration::from_secs_f64(1.0 / rate.per_second().max(MIN_SENDER_RATE));
         }
-        // Without knowledge of the region's VMs, all senders may be there.
+        // Without a list of the region's VMs, all senders are assumed to exist.
         let is_counted = self.is_alone() || !others.is_empty();
-        let sending = if is_counted {
+        let active_senders = if is_counted {
             senders.min(others.len() + 1)
         } else {
             senders
         };
-        let share = (rate.per_second() / sending as f64).max(LEAST_SHARE);
+        let share = (rate.per_second() / active_senders as f64).max(MIN_SENDER_RATE);
         server.limit_state().wait(now, share)
     }
 }
 
-/// VMs that may send to a server with a limit: few, since each may send one request at the
-/// same moment.
+/// Number of VMs that may send to a server with a limit. It is small, since all of them may
+/// send a request at the same moment.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 fn sender_count(rate: RequestRate) -> usize {
-    LEAST_SENDERS.saturating_add(rate.per_second() as usize)
+    MIN_SENDERS.saturating_add(rate.per_second() as usize)
 }
--- /dev/null
+++ b/crates/fleet/src/liveness.rs
@@ -0,0 +1,115 @@
+//! Liveness votes on servers, summed over VMs.
+//!
+//! A server that loses power sends nothing, and one VM of a hundred sends it a request only
+//! every 10 s: on its own, each VM would notice the loss by a request that hangs. So every
+//! VM votes on each server that it works with: good if it has received a liveness signal of
+//! the server lately, bad if a connection was lost since the last signal or a response is
+//! long overdue. Votes are summed like work, and all VMs treat a server with enough bad
+//! votes as unresponsive.
+//!
+//! Invariant: a VM has one vote, so that a VM whose own network is broken cannot make others
+//! treat a healthy server as unresponsive.
+
+use std::time::Duration;
+
+use onyxfall_policy::Moment;
+
+/// How long a liveness signal counts as a good vote. A busy server gives one VM of a
+/// hundred a signal every second or two, and all of them together one every few
+/// milliseconds.
+const GOOD_TTL: Duration = Duration::from_millis(700);
+/// How long a lost connection counts as a bad vote: the store reports servers that are gone
+/// after about 4 s.
+const BAD_TTL: Duration = Duration::from_secs(3);
+/// A response is overdue after this multiple of its expected time, but not before
+/// [`MIN_OVERDUE`]: under peak load, 1 in 100 first bytes took more than 4.2 times the
+/// prediction.
+const OVERDUE_FACTOR: f64 = 4.0;
+const MIN_OVERDUE: Duration = Duration::from_millis(400);
+/// Bad votes that make a server unresponsive: at least [`MIN_BAD`], and at least
+/// [`BAD_PER_GOOD`] for each good vote.
+const MIN_BAD: u32 = 2;
+const BAD_PER_GOOD: u32 = 2;
+
+/// Sum of liveness votes on a server.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ServerVotes {
+    /// Number of VMs that have received a liveness signal lately.
+    pub good: u32,
+    /// Number of VMs that have lost a connection since, or whose response is long overdue.
+    pub bad: u32,
+}
+
+impl ServerVotes {
+    /// Whether the server is to be treated as unresponsive.
+    ///
+    /// ```
+    /// use onyxfall_fleet::ServerVotes;
+    /// assert!(ServerVotes { good: 0, bad: 2 }.is_silent());
+    /// assert!(!ServerVotes { good: 0, bad: 1 }.is_silent());
+    /// assert!(!ServerVotes { good: 3, bad: 5 }.is_silent());
+    /// ```
+    pub const fn is_silent(self) -> bool {
+        self.bad >= MIN_BAD && self.bad >= self.good.saturating_mul(BAD_PER_GOOD)
+    }
+
+    /// Sum of both votes.
+    pub(crate) fn plus(self, other: Self) -> Self {
+        Self {
+            good: self.good.saturating_add(other.good),
+            bad: self.bad.saturating_add(other.bad),
+        }
+    }
+
+    /// The votes without `other`, which is part of them.
+    pub(crate) fn without(self, other: Self) -> Self {
+        Self {
+            good: self.good.saturating_sub(other.good),
+            bad: self.bad.saturating_sub(other.bad),
+        }
+    }
+}
+
+/// Liveness of one server as this VM observes it.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct LivenessRecord {
+    last_signal: Option<Moment>,
+    last_disconnect: Option<Moment>,
+}
+
+impl LivenessRecord {
+    /// Time of the last liveness signal.
+    pub(crate) fn last_liveness(&self) -> Option<Moment> {
+        self.last_signal
+    }
+
+    /// Records a liveness signal.
+    pub(crate) fn record_liveness(&mut self, now: Moment) {
+        self.last_signal = Some(now);
+    }
+
+    /// Records that a connection was lost or could not be established.
+    pub(crate) fn record_disconnect(&mut self, now: Moment) {
+        self.last_disconnect = Some(now);
+    }
+
+    /// The vote of this VM. `waiting` holds the start and the expected time of the attempt
+    /// that has waited longest for its first byte.
+    pub(crate) fn vote(&self, now: Moment, waiting: Option<(Moment, Duration)>) -> ServerVotes {
+        let is_disconnected = self
+            .last_disconnect
+            .is_some_and(|at| now - at < BAD_TTL && self.last_signal.is_none_or(|sign| sign < at));
+        let is_overdue = waiting.is_some_and(|(started, expected)| {
+            let since = self.last_signal.map_or(started, |sign| sign.max(started));
+            now - since >= expected.mul_f64(OVERDUE_FACTOR).max(MIN_OVERDUE)
+        });
+        if is_disconnected || is_overdue {
+            return ServerVotes { good: 0, bad: 1 };
+        }
+        let is_alive = self.last_signal.is_some_and(|at| now - at < GOOD_TTL);
+        ServerVotes {
+            good: u32::from(is_alive),
+            bad: 0,
+        }
+    }
+}
--- a/crates/fleet/src/pools.rs
+++ b/crates/fleet/src/pools.rs
@@ -1,16 +1,18 @@
-//! Which servers this VM works with.
+//! The working set of servers.
 //!
-//! A region may have thousands of servers, and a VM sends each of them next to nothing. So
-//! the servers of a service, region and version stand in one order, by hashing, which is
-//! the same on every VM, and the region works with the first ones: as many as what it has
-//! to do needs. Of those a VM keeps all that it knows and learns. Of the others, which are
-//! *dormant*, it keeps the entry alone, until one before them goes or leaves.
+//! A region may have thousands of servers, and each VM sends few requests to any of
+//! them. The servers of a service, region and version are therefore ordered by a hash
+//! that is the same on every VM, and the region uses the first ones, as many as its
+//! load requires. A VM keeps full state of these *working* servers. Of the others,
+//! which are *dormant*, it keeps only the store entry until a server before them is
+//! removed or drains.
 //!
-//! Fewer servers also mean that shared parts of prompts are read on fewer of them, and that
-//! connections are used again. A pool of no more than [`LEAST_WORKING`] works whole.
+//! With fewer servers, shared parts of prompts are also prefilled on fewer of them, and
+//! connections are reused. All servers of a pool of no more than [`MIN_WORKING`] are
+//! working.
 //!
-//! Invariant: what a choice costs, and what is kept beside an entry, does not grow with
-//! the number of servers.
+//! Invariant: the cost of a choice, and the state kept beside the entries, do not grow
+//! with the number of servers.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -19,15 +21,15 @@
 
 use crate::record::{ServerPhase, ServerRecord};
 
-/// Servers of a pool that are worked with in any case: hundreds of VMs find one for each
-/// of their requests, and the loss of a data centre leaves half of them.
-pub const LEAST_WORKING: usize = 128;
-/// Part of their places taken from which twice as many are worked with, and part below
-/// which half as many: far enough apart that the number does not swing.
-const GROW_PART: f64 = 0.4;
-const SHRINK_PART: f64 = 0.1;
+/// Minimum number of working servers of a pool. With it hundreds of VMs find a server
+/// for each of their requests, and the loss of a data centre leaves half of them.
+pub const MIN_WORKING: usize = 128;
+/// Utilisation of slots above which the number of working servers is doubled, and below
+/// which it is halved. They are far enough apart that the number does not oscillate.
+const GROW_UTILISATION: f64 = 0.4;
+const SHRINK_UTILISATION: f64 = 0.1;
 
-/// The servers of a service in a region that run one version.
+/// Key of the pool of a service's servers in a region that run one version.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PoolKey {
     pub(crate) service: ServiceName,
@@ -35,11 +37,11 @@
     pub(crate) version: Option<SoftwareVersion>,
 }
 
-/// Number of a pool.
+/// Index of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PoolId(u32);
 
-/// A server's place in the order of its pool.
+/// Position of a server in the hash order of its pool.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PoolPosition {
     rank: u64,
@@ -55,56 +57,56 @@
     }
 }
 
-/// The entry of a server that this VM does not work with.
+/// Store entry of a server outside the working set.
 #[derive(Clone, Debug)]
 pub(crate) struct DormantServer {
     pub(crate) record: ServerRecord,
-    /// When the entry was seen.
-    pub(crate) seen: Moment,
+    /// When the entry was received.
+    pub(crate) received_at: Moment,
 }
 
-/// A server of a pool.
+/// Server of a pool.
 #[derive(Clone, Debug)]
 pub(crate) enum PoolServer {
-    /// All is kept of it.
+    /// Full state is kept in [`crate::FleetView`].
     Working(ServerId),
-    /// Its entry is kept.
+    /// Only the store entry is kept.
     Dormant(Box<DormantServer>),
 }
 
-/// A pool.
+/// Servers of one pool.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerPool {
     pub(crate) key: PoolKey,
     pub(crate) servers: BTreeMap<PoolPosition, PoolServer>,
-    /// How many that take work are worked with.
+    /// Target number of working servers that accept requests.
     pub(crate) working: usize,
-    /// Requests a second that one of them bears while it is cold.
+    /// Requests per second that one of the servers can take while it is cold.
     pub(crate) cold_rate: f64,
-    /// The last place that is worked with; none if all are.
+    /// Last position of the working set; none if all servers are working.
     pub(crate) last: Option<PoolPosition>,
 }
 
 impl ServerPool {
-    /// Changes how many servers are worked with by the part of their places that is
-    /// taken; whether that has changed.
-    pub(crate) fn resize(&mut self, taken: f64) -> bool {
+    /// Adjusts the target number of working servers to the utilisation of their slots.
+    /// Returns whether it has changed.
+    pub(crate) fn resize(&mut self, utilisation: f64) -> bool {
         let before = self.working;
-        if taken > GROW_PART && self.working < self.servers.len() {
+        if utilisation > GROW_UTILISATION && self.working < self.servers.len() {
             self.working *= 2;
-        } else if taken < SHRINK_PART && self.working > LEAST_WORKING {
+        } else if utilisation < SHRINK_UTILISATION && self.working > MIN_WORKING {
             self.working /= 2;
         }
         self.working != before
     }
 
-    /// Whether a change at a place can change which servers are worked with.
-    pub(crate) fn is_within(&self, place: &PoolPosition) -> bool {
-        self.last.as_ref().is_none_or(|last| place <= last)
+    /// Whether a change at a position can change the working set.
+    pub(crate) fn is_in_working_range(&self, position: &PoolPosition) -> bool {
+        self.last.as_ref().is_none_or(|last| position <= last)
     }
 }
 
-/// The pools, and the pool of every server.
+/// All pools, with indexes by key and by server name.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PoolTable {
     pools: Vec<ServerPool>,
@@ -113,7 +115,7 @@
 }
 
 impl PoolTable {
-    /// The pool with a key.
+    /// Returns the pool with a key, creating it if needed.
     pub(crate) fn id_of(&mut self, key: &PoolKey) -> PoolId {
         if let Some(id) = self.by_key.get(key) {
             return *id;
@@ -123,29 +125,29 @@
         self.pools.push(ServerPool {
             key: key.clone(),
             servers: BTreeMap::new(),
-            working: LEAST_WORKING,
+            working: MIN_WORKING,
             cold_rate: 0.0,
             last: None,
         });
         id
     }
 
-    /// A pool.
+    /// Returns a pool.
     pub(crate) fn get(&self, id: PoolId) -> &ServerPool {
         &self.pools[id.0 as usize]
     }
 
-    /// A pool, to change it.
+    /// Returns a pool for modification.
     pub(crate) fn get_mut(&mut self, id: PoolId) -> &mut ServerPool {
         &mut self.pools[id.0 as usize]
     }
 
-    /// Every pool.
+    /// Ids of all pools.
     pub(crate) fn ids(&self) -> impl Iterator<Item = PoolId> + use<> {
         (0..u32::try_from(self.pools.len()).unwrap_or(u32::MAX)).map(PoolId)
     }
 
-    /// The pools of a service.
+    /// Pools of a service.
     pub(crate) fn of_service(&self, service: &ServiceName) -> impl Iterator<Item = &ServerPool> {
         let pools = self.pools.iter();
         pools.filter(move |pool| pool.key.service == *service)
@@ -156,49 +158,49 @@
         self.by_name.contains_key(name)
     }
 
-    /// The pool of a server.
+    /// Pool of a server.
     pub(crate) fn pool_of(&self, name: &str) -> Option<PoolId> {
         self.by_name.get(name).copied()
     }
 
-    /// A server's entry in its pool.
+    /// Entry of a server in its pool.
     pub(crate) fn entry_mut(&mut self, name: &ServerName) -> Option<&mut PoolServer> {
         let id = self.pool_of(name.as_str())?;
-        let place = PoolPosition::new(name);
-        self.get_mut(id).servers.get_mut(&place)
+        let position = PoolPosition::new(name);
+        self.get_mut(id).servers.get_mut(&position)
     }
 
-    /// Adds a server whose entry was seen; its place.
+    /// Adds a dormant server and returns its position.
     pub(crate) fn add(&mut self, id: PoolId, server: DormantServer) -> PoolPosition {
         let name = server.record.name.clone();
-        let place = PoolPosition::new(&name);
+        let position = PoolPosition::new(&name);
         let pool = self.get_mut(id);
         let server = PoolServer::Dormant(Box::new(server));
-        pool.servers.insert(place.clone(), server);
+        pool.servers.insert(position.clone(), server);
         self.by_name.insert(name, id);
-        place
+        position
     }
 
-    /// Takes a server out; its pool, its place and what was kept of it.
+    /// Removes a server; returns its pool, position and state.
     pub(crate) fn remove(&mut self, name: &str) -> Option<(PoolId, PoolPosition, PoolServer)> {
         let (name, id) = self.by_name.remove_entry(name)?;
-        let place = PoolPosition::new(&name);
-        let server = self.get_mut(id).servers.remove(&place)?;
-        Some((id, place, server))
+        let position = PoolPosition::new(&name);
+        let server = self.get_mut(id).servers.remove(&position)?;
+        Some((id, position, server))
     }
 }
 
 impl DormantServer {
-    /// Takes a newer entry of the same life. The time that a server stays cold counts from
-    /// the entry that tells it.
+    /// Applies a newer entry of the same instance. The time for which a server stays
+    /// cold counts from the entry that reports it.
     pub(crate) fn update(&mut self, now: Moment, record: ServerRecord) {
         if !record.cold_left.is_zero() {
-            self.seen = now;
+            self.received_at = now;
         }
         self.record = record;
     }
 
-    /// Whether its entry lets it have work.
+    /// Whether the entry allows new requests.
     pub(crate) fn takes_work(&self) -> bool {
         self.record.phase == ServerPhase::Ready
     }
--- a/crates/fleet/src/predict.rs
+++ b/crates/fleet/src/predict.rs
@@ -1,8 +1,8 @@
-//! Expected times of a request at a server, and what answers teach.
+//! Expected times of a request at a server, and learning from responses.
 //!
-//! A prediction is the learned cost of the service times the server's own
-//! slowness. Servers that are slow by themselves teach what they would have taken
-//! at the usual speed, so that a few of them do not slow the picture of all.
+//! A prediction is the learned cost of the service times the slowness of the server.
+//! Samples of slow servers are divided by their slowness, so that a few of them do not
+//! raise the learned cost of the whole service.
 
 use std::time::Duration;
 
@@ -15,68 +15,69 @@
 use crate::switches::DecisionSwitch;
 use crate::view::FleetView;
 
-/// Gaps between events of an answer from which its pace counts: the time of one or
-/// two is that of a network packet.
-const LEAST_GAPS: f64 = 4.0;
-/// Gaps of an answer whose length is not known.
-const USUAL_GAPS: f64 = 50.0;
+/// Minimum number of event gaps from which the event interval of a response is learned.
+/// The time of one or two gaps is that of a network packet.
+const MIN_GAPS: f64 = 4.0;
+/// Number of event gaps assumed for a response of unknown length.
+const DEFAULT_GAPS: f64 = 50.0;
 
-/// Expected times of a request at a server, from its sending.
+/// Expected times of a request at a server, counted from sending it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TimePrediction {
-    /// To the first byte.
+    /// Time to the first byte.
     pub first: Duration,
-    /// To the first byte if all prompts that are there were read before, one after the
-    /// other: what the request costs those that it goes before counts in it.
+    /// Time to the first byte if all prompts at the server were prefilled first,
+    /// sequentially. It includes the delay that the request causes to those it
+    /// overtakes.
     pub loaded: Duration,
-    /// The part of `loaded` that is the reading of others' prompts.
+    /// Part of `loaded` that is the prefill of other prompts.
     pub backlog: Duration,
-    /// To the end of the answer; the same where the length is not known.
+    /// Time to the end of the response; equal to `first` where the length is unknown.
     pub whole: Duration,
 }
 
 impl FleetView {
-    /// Expected times of a request that is sent to a server now.
+    /// Predicts the times of a request that is sent to a server now.
     pub fn predict(&self, now: Moment, id: ServerId, needs: &CallRequirements) -> TimePrediction {
         let server = self.server(id);
         let slowness = server.slowness(now);
         let costs = self.costs(&needs.service);
-        let in_time = |ms: f64| millis(ms * slowness);
+        let scaled = |ms: f64| millis(ms * slowness);
         match server.load(now, needs) {
             ServerLoad::Engine(load) => {
                 let first = costs.first_ms(&load);
                 let alone = costs.first_ms(&load.alone());
                 let backlog = costs.read_ms(load.others());
                 TimePrediction {
-                    first: in_time(first),
-                    loaded: in_time(alone + backlog),
-                    backlog: in_time(backlog),
-                    whole: in_time(first)
-                        + millis(rest_ms(costs, &load, needs) * server.pace_slowness()),
+                    first: scaled(first),
+                    loaded: scaled(alone + backlog),
+                    backlog: scaled(backlog),
+                    whole: scaled(first)
+                        + millis(events_ms(costs, &load, needs) * server.interval_slowness()),
                 }
             }
             ServerLoad::Plain(turns) => {
                 let alone = costs.plain_ms();
-                let first = in_time(alone * turns);
+                let first = scaled(alone * turns);
                 TimePrediction {
                     first,
                     loaded: first,
-                    backlog: in_time(alone * (turns - 1.0)),
+                    backlog: scaled(alone * (turns - 1.0)),
                     whole: first,
                 }
             }
         }
     }
 
-    /// Whether the whole answer is expected before the caller leaves.
+    /// Whether the whole response is expected before the caller's deadline.
     pub fn is_in_time(
         &self,
         now: Moment,
         predicted: &TimePrediction,
         needs: &CallRequirements,
     ) -> bool {
-        let counts = self.switches().is_on(DecisionSwitch::WholeAnswers);
-        !counts || now + predicted.whole <= needs.deadline
+        let is_checked = self.switches().is_on(DecisionSwitch::WholeAnswers);
+        !is_checked || now + predicted.whole <= needs.deadline
     }
 
     /// Expected time to the first byte.
@@ -84,7 +85,7 @@
         self.predict(now, id, needs).first
     }
 
-    /// Expected time between two events of an answer at a server.
+    /// Expected time between two events of a response at a server.
     pub fn predict_event_interval(
         &self,
         now: Moment,
@@ -92,31 +93,31 @@
         needs: &CallRequirements,
     ) -> Duration {
         let server = self.server(id);
-        let pace = match server.load(now, needs) {
-            ServerLoad::Engine(load) => self.costs(&needs.service).pace_ms(&load, USUAL_GAPS),
+        let interval = match server.load(now, needs) {
+            ServerLoad::Engine(load) => self.costs(&needs.service).pace_ms(&load, DEFAULT_GAPS),
             ServerLoad::Plain(_) => None,
         };
-        millis(pace.unwrap_or(0.0) * server.pace_slowness())
+        millis(interval.unwrap_or(0.0) * server.interval_slowness())
     }
 
-    /// Work that a request brings to the servers of its service where `kept` of its
-    /// prompt need not be read: the reading, or its part of a plain server's time.
-    pub fn work_of(&self, needs: &CallRequirements, kept: u64) -> Duration {
+    /// Work that a request adds to the servers of its service if `cached` tokens of its
+    /// prompt need no prefill: the prefill time, or its share of a plain server's time.
+    pub fn work_of(&self, needs: &CallRequirements, cached: u64) -> Duration {
         let costs = self.costs(&needs.service);
         if needs.engine.is_some() {
-            return millis(costs.read_ms(needs.prompt.input.saturating_sub(kept)));
+            return millis(costs.read_ms(needs.prompt.input.saturating_sub(cached)));
         }
         let servers = self.servers_of(&needs.service).iter();
         let slots = servers.map(|id| self.server(*id).record.slots).max();
         millis(costs.plain_ms() / f64::from(slots.unwrap_or(1).max(1)))
     }
 
-    /// Time that servers of a service take to read `tokens` of a prompt.
+    /// Time that servers of a service take to prefill `tokens` of a prompt.
     pub fn prefill_time(&self, service: &ServiceName, tokens: u64) -> Duration {
         millis(self.costs(service).read_ms(tokens))
     }
 
-    /// Notes that attempt `attempt` is sent to a server.
+    /// Records that attempt `attempt` is sent to a server.
     pub fn start_attempt(
         &mut self,
         now: Moment,
@@ -128,27 +129,29 @@
         self.server_mut(id).start(now, attempt, needs, predicted);
     }
 
-    /// Notes the first byte of an attempt; how many times slower than usual it came.
+    /// Records the first byte of an attempt. Returns the ratio of its time to the usual
+    /// one.
     pub fn note_answer(&mut self, now: Moment, id: ServerId, attempt: u64) -> Option<f64> {
-        let seen = self.server_mut(id).answer(now, attempt)?;
-        // A cold server's times say nothing of a warm one's.
-        if !self.learns() || self.server(id).is_cold(now) {
-            return Some(seen.ratio);
+        let first_byte = self.server_mut(id).record_first_byte(now, attempt)?;
+        // Times of a cold server do not apply to a warm one.
+        if !self.learns_costs() || self.server(id).is_cold(now) {
+            return Some(first_byte.ratio);
         }
-        let factor = self.relative_slowness(id, seen.slowness);
-        let took = seen.took.div_f64(factor);
-        let doubt = factor.max(1.0 / factor);
+        let factor = self.relative_slowness(id, first_byte.slowness);
+        let took = first_byte.took.div_f64(factor);
+        let uncertainty = factor.max(1.0 / factor);
         let service = self.server(id).record.service.clone();
         let costs = self.costs_mut(&service);
-        match seen.load {
-            ServerLoad::Engine(load) => costs.engine_mut().learn_first(&load, took, doubt),
+        match first_byte.load {
+            ServerLoad::Engine(load) => costs.engine_mut().learn_first(&load, took, uncertainty),
             ServerLoad::Plain(turns) => costs.plain_mut().learn(took, turns),
         }
-        Some(seen.ratio)
+        Some(first_byte.ratio)
     }
 
-    /// Notes the end of an attempt; `events` of its answer have come, if it is a
-    /// stream. How many times slower than usual they came, if that is known.
+    /// Records the end of an attempt, with the number of `events` received if the
+    /// response is a stream. Returns the ratio of their interval to the usual one, if
+    /// known.
     pub fn end_attempt(
         &mut self,
         now: Moment,
@@ -157,19 +160,19 @@
         result: AttemptResult,
         events: Option<u32>,
     ) -> Option<f64> {
-        let since = self.server(id).since_answer(now, attempt);
+        let since = self.server(id).since_first_byte(now, attempt);
         self.server_mut(id).end(now, attempt, result);
         let gaps = f64::from(events.unwrap_or(0).saturating_sub(1));
-        let is_whole = result == AttemptResult::Succeeded && gaps >= LEAST_GAPS;
-        match (since, is_whole) {
+        let has_interval = result == AttemptResult::Succeeded && gaps >= MIN_GAPS;
+        match (since, has_interval) {
             (Some((ServerLoad::Engine(load), took)), true) => {
-                self.learn_rest(now, id, &load, took, gaps)
+                self.learn_events(now, id, &load, took, gaps)
             }
             _ => None,
         }
     }
 
-    fn learn_rest(
+    fn learn_events(
         &mut self,
         now: Moment,
         id: ServerId,
@@ -177,17 +180,17 @@
         took: Duration,
         gaps: f64,
     ) -> Option<f64> {
-        if !self.learns() || self.server(id).is_cold(now) {
+        if !self.learns_costs() || self.server(id).is_cold(now) {
             return None;
         }
         let service = self.server(id).record.service.clone();
         let predicted = self.costs(&service).pace_ms(load, gaps);
-        let pace = took.div_f64(gaps);
-        let ratio = predicted.map(|ms| pace.as_secs_f64() * 1e3 / ms.max(f64::MIN_POSITIVE));
+        let interval = took.div_f64(gaps);
+        let ratio = predicted.map(|ms| interval.as_secs_f64() * 1e3 / ms.max(f64::MIN_POSITIVE));
         if let Some(ratio) = ratio {
-            self.server_mut(id).note_pace(ratio);
+            self.server_mut(id).record_event_interval(ratio);
         }
-        let factor = self.server(id).pace_slowness();
+        let factor = self.server(id).interval_slowness();
         let took = took.div_f64(factor);
         let costs = self.costs_mut(&service);
         costs
@@ -196,30 +199,30 @@
         ratio
     }
 
-    /// What this VM tells others of the costs of each service.
+    /// Reports of the costs of each service for other VMs.
     pub fn cost_reports(&self, view: CostView) -> impl Iterator<Item = (&ServiceName, CostReport)> {
         self.all_costs()
             .filter_map(move |(service, costs)| Some((service, costs.report(view)?)))
     }
 
-    /// Takes what another VM tells of the costs of a service; whether a figure was
-    /// absurd and had to be bounded.
+    /// Applies another VM's report of the costs of a service. Returns whether a figure
+    /// was out of bounds and had to be clamped.
     pub fn receive_costs(
         &mut self,
         now: Moment,
         vm: &VmName,
-        teller: CostSource,
+        source: CostSource,
         service: &ServiceName,
         report: CostReport,
     ) -> bool {
-        self.learns() && self.costs_mut(service).receive(now, vm, teller, report)
+        self.learns_costs() && self.costs_mut(service).receive(now, vm, source, report)
     }
 
-    fn learns(&self) -> bool {
+    fn learns_costs(&self) -> bool {
         self.switches().is_on(DecisionSwitch::LearnedCosts)
     }
 
-    /// How much slower a server is than the median of its service in this region.
+    /// Slowness of a server relative to the median of its service in this region.
     fn relative_slowness(&self, id: ServerId, slowness: f64) -> f64 {
         let server = self.server(id);
         let mut others: Vec<f64> = self
@@ -238,15 +241,15 @@
     }
 }
 
-/// Milliseconds from the first event of an answer to its end.
-fn rest_ms(costs: &ServiceCosts, load: &EngineLoad, needs: &CallRequirements) -> f64 {
+/// Milliseconds from the first event of a response to its end.
+fn events_ms(costs: &ServiceCosts, load: &EngineLoad, needs: &CallRequirements) -> f64 {
     let gaps = (needs.events.unwrap_or(1.0) - 1.0).max(0.0);
     costs.pace_ms(load, gaps).unwrap_or(0.0) * gaps
 }
 
-/// Longest time that is predicted: beyond, every request is late alike.
-const LONGEST_MS: f64 = 3_600_000.0;
+/// Upper bound of a predicted time. Beyond it all requests are late.
+const MAX_PREDICTED_MS: f64 = 3_600_000.0;
 
 fn millis(ms: f64) -> Duration {
-    Duration::from_secs_f64(ms.clamp(0.0, LONGEST_MS) / 1e3)
+    Duration::from_secs_f64(ms.clamp(0.0, MAX_PREDICTED_MS) / 1e3)
 }
