--- a/crates/fleet/src/quota/mod.rs
+++ b/crates/fleet/src/quota/mod.rs
@@ -1,18 +1,19 @@
-//! Limits of teams, held over all VMs together without asking anybody.
+//! Team quotas, enforced over all VMs together without coordination.
 //!
-//! Every VM meters what each team asks of it, and tells that rate by the overlay: to its
-//! region within some 0.15 s, to other regions within some 0.6 s. All VMs work out the same
-//! bucket from it: it fills with what all are asked for, times the chance at which all
-//! admit, and drains by the limit's rate. While the bucket is low, everything is admitted;
-//! once it is higher, requests are admitted by the chance at which the limit is just used
-//! up, a little more often where refusals begin and never where the bucket is full. So a
-//! flood is cut to the limit by all VMs alike, and what a limit allows is not refused
-//! because it came to few VMs.
+//! Every VM meters the demand of each team and publishes the rate through the overlay: to its
+//! region within about 0.15 s, to other regions within about 0.6 s. From these rates all VMs
+//! compute the same leaky bucket. It fills with the total demand times the admission
+//! probability and drains at the rate of the quota. While its level is low, everything is
+//! admitted. Above that, requests are admitted with the probability that just uses up the
+//! quota, slightly raised where refusals begin and falling to zero at a full bucket. So all
+//! VMs reduce excess demand alike, and requests within a quota are not refused because they
+//! arrived at few VMs.
 //!
-//! Invariant: regions that do not hear each other use parts of the limit that are together
-//! no more than the whole, and so do VMs that hear less than half of their region.
+//! Invariant: regions that receive no updates from each other use shares of the quota that add
+//! up to at most the whole, and so do VMs that are connected to less than half of their
+//! region.
 
-mod side;
+mod partition;
 mod usage;
 
 use std::collections::HashMap;
@@ -24,36 +25,36 @@
 
 use crate::switches::QuotaMode;
 use crate::team::QuotaLimit;
-use side::{QuotaSide, SideBucket, SideState};
-use usage::{FarDemand, TeamUsage};
+use partition::{PartitionBucket, PartitionState, QuotaPartition};
+use usage::{RemoteDemand, TeamUsage};
 
-/// Age at which a region's last word on a team is forgotten: it asks for nothing.
-const WORD_LIFE: Duration = Duration::from_mins(1);
-/// Seconds of the limit above the free part at which a bucket begins of which nothing is
-/// known: where all VMs lose power in a flood, it was about full.
-const START_S: f64 = 1.5;
-/// Bounds of the time after which a refused caller is told to come back, and its spread.
+/// Age at which the last demand of a region for a team expires and counts as zero.
+const DEMAND_TTL: Duration = Duration::from_mins(1);
+/// Initial level of a bucket without history above its free part, in seconds of the quota's
+/// rate. If all VMs lose power under excess demand, the bucket was about full.
+const INITIAL_LEVEL_S: f64 = 1.5;
+/// Bounds in seconds of the retry time that a refused caller gets, and its random spread.
 const RETRY_AFTER_RANGE: (f64, f64) = (0.2, 5.0);
 const RETRY_AFTER_SPREAD: (f64, f64) = (0.75, 1.25);
-/// Units a second that another VM is believed to be asked for at most.
-const MOST_DEMAND: f64 = 1e12;
+/// Largest demand that is accepted from other VMs, in units a second.
+const MAX_DEMAND: f64 = 1e12;
 
-/// How exactly limits must be held: in any window, a team may use its rate over the
-/// window and its burst, times one and `over`, and `slack` beside.
+/// Required accuracy of quotas. In any window, a team may use its rate times the window plus
+/// its burst, multiplied by one plus `over`, and `slack` in addition.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaSettings {
-    /// How limits are divided.
+    /// How quotas are divided among VMs.
     pub way: QuotaMode,
     /// Length of the window.
     pub window: Duration,
-    /// Part of the limit that may be used beside it.
+    /// Fraction of the quota that may be used in addition.
     pub over: f64,
-    /// Units that may be used beside it.
+    /// Units that may be used in addition.
     pub slack: f64,
 }
 
 impl Default for QuotaSettings {
-    /// Nothing beside the limit.
+    /// Settings that allow nothing beyond the quota.
     fn default() -> Self {
         Self {
             way: QuotaMode::Pooled,
@@ -65,31 +66,34 @@
 }
 
 impl QuotaSettings {
-    /// Units that may come at once, beside those that drain in the window.
+    /// Capacity of the bucket: units that may be used at once, in addition to those that drain
+    /// in the window.
     fn capacity(&self, limit: &QuotaLimit) -> f64 {
         let drained = limit.rate * self.window.as_secs_f64();
         limit.burst * (1.0 + self.over) + drained * self.over + self.slack
     }
 
-    /// Where a bucket is taken to stand of which nothing is known.
-    fn start_level(&self, limit: &QuotaLimit) -> f64 {
+    /// Initial level of a bucket without history.
+    fn initial_level(&self, limit: &QuotaLimit) -> f64 {
         if self.way == QuotaMode::EqualParts {
             return 0.0;
         }
-        let side = QuotaSide::alone(limit, 1, 0.0);
-        let bucket = SideBucket::new(limit, self, &side);
-        bucket.capacity.min(bucket.free + START_S * limit.rate)
+        let partition = QuotaPartition::alone(limit, 1, 0.0);
+        let bucket = PartitionBucket::new(limit, self, &partition);
+        bucket
+            .capacity
+            .min(bucket.free + INITIAL_LEVEL_S * limit.rate)
     }
 }
 
-/// The VMs that share limits with this one.
+/// The VMs that share quotas with this VM.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaPeers {
-    /// Part of the region's VMs that this one hears, itself included.
+    /// Fraction of the region's VMs that this VM is connected to, itself included.
     pub reachable_share: f64,
-    /// VMs of all regions, this one included.
+    /// Number of VMs of all regions, this one included.
     pub vms: usize,
-    /// Regions, this one included.
+    /// Number of regions, this one included.
     pub regions: usize,
 }
 
@@ -103,44 +107,44 @@
     }
 }
 
-/// Whether a request is within its team's limit.
+/// Decision whether a request is within its team's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum QuotaDecision {
-    /// It is, and is counted.
+    /// The request is admitted and counted.
     Admitted,
-    /// It is not.
+    /// The request is refused.
     Refused {
-        /// When one like it is expected to be admitted.
+        /// Time after which a similar request is expected to be admitted.
         retry_after: Duration,
-        /// Units a second that the team asks of the VMs that hear each other.
+        /// Demand of the team at the VMs of the partition, in units a second.
         demand: f64,
-        /// Units in their bucket.
+        /// Level of the partition's bucket in units.
         level: f64,
     },
 }
 
-/// What teams use, as this VM knows it.
+/// Quota usage of all teams, as tracked by this VM.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaTable {
     settings: QuotaSettings,
     peers: QuotaPeers,
-    /// By the tag of the team's name.
+    /// Usage by team tag.
     teams: HashMap<u32, TeamUsage>,
 }
 
 impl QuotaTable {
-    /// Sets how exactly limits are held.
+    /// Sets the required accuracy of quotas.
     pub fn set_settings(&mut self, settings: QuotaSettings) {
         self.settings = settings;
     }
 
-    /// Sets who shares limits with this VM.
+    /// Sets the VMs that share quotas with this VM.
     pub fn set_peers(&mut self, peers: QuotaPeers) {
         self.peers = peers;
     }
 
-    /// Decides whether a request of `cost` units is within its team's limit, and counts
-    /// it if it is. A team that is not known has no limit.
+    /// Decides whether a request of `cost` units is within its team's quota, and counts it if
+    /// it is. An unknown team has no quota.
     ///
     /// ```
     /// use onyxfall_fleet::{QuotaDecision, QuotaLimit, QuotaTable, QuotaUnit};
@@ -165,11 +169,11 @@
         };
         usage.own.note(now, cost);
         usage.settle(now, &self.settings, &self.peers);
-        let SideState {
-            side,
+        let PartitionState {
+            partition,
             bucket,
             chance,
-        } = usage.held;
+        } = usage.state;
         let cost = cost as f64;
         if rng.random::<f64>() < chance {
             usage.level += cost;
@@ -180,76 +184,76 @@
         let wait = wait.clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1) * spread;
         QuotaDecision::Refused {
             retry_after: Duration::from_secs_f64(wait),
-            demand: side.demand,
+            demand: partition.demand,
             level: usage.level,
         }
     }
 
-    /// Gives back what a request counted that was admitted and never ran.
+    /// Refunds the cost of a request that was admitted but never ran.
     pub fn give_back(&mut self, team: u32, cost: u64) {
         if let Some(usage) = self.teams.get_mut(&team) {
             usage.level = (usage.level - cost as f64).max(0.0);
         }
     }
 
-    /// What each team asks of this VM: its tag, and units a second.
+    /// Demand of each team at this VM, as its tag and units a second.
     pub fn own_demand(&self, now: Moment) -> impl Iterator<Item = (u32, f64)> {
         let teams = self.teams.iter();
         teams.map(move |(tag, usage)| (*tag, usage.own.per_second(now)))
     }
 
-    /// What each team asks of the region, in units a second.
+    /// Demand of each team in this region, as its tag and units a second.
     pub fn region_demand(&self, now: Moment) -> impl Iterator<Item = (u32, f64)> {
         let teams = self.teams.iter();
         teams.map(move |(tag, usage)| (*tag, usage.region_demand(now)))
     }
 
-    /// What another region last told of the teams.
+    /// Last reported demand of each team in another region, as its tag and units a second.
     pub fn demand_of(&self, region: &RegionName) -> impl Iterator<Item = (u32, f64)> {
         let teams = self.teams.iter();
-        teams.filter_map(|(tag, usage)| Some((*tag, usage.far.get(region)?.rate)))
+        teams.filter_map(|(tag, usage)| Some((*tag, usage.remote.get(region)?.rate)))
     }
 
-    /// Sets what a team asks of the region's other VMs; whether the team is known.
+    /// Sets a team's demand at the other VMs of this region. Returns whether the team is known.
     pub fn set_peer_demand(&mut self, now: Moment, team: u32, demand: f64) -> bool {
         let Some(usage) = self.teams.get_mut(&team) else {
             return false;
         };
-        usage.near = demand.clamp(0.0, MOST_DEMAND);
+        usage.peers = demand.clamp(0.0, MAX_DEMAND);
         usage.settle(now, &self.settings, &self.peers);
         true
     }
 
-    /// Takes what another region asks for, as it said at `said`; teams that it does not
-    /// name ask for nothing there.
-    pub fn hear(&mut self, said: Moment, region: &RegionName, demands: &[(u32, f64)]) {
+    /// Records the demands of another region, which were sent at `sent`. Teams that are not
+    /// listed have no demand there.
+    pub fn receive(&mut self, sent: Moment, region: &RegionName, demands: &[(u32, f64)]) {
         for usage in self.teams.values_mut() {
-            if let Some(word) = usage.far.get_mut(region)
-                && word.said < said
+            if let Some(latest) = usage.remote.get_mut(region)
+                && latest.sent < sent
             {
-                *word = FarDemand { rate: 0.0, said };
+                *latest = RemoteDemand { rate: 0.0, sent };
             }
         }
         for (team, rate) in demands {
             let Some(usage) = self.teams.get_mut(team) else {
                 continue;
             };
-            let rate = rate.clamp(0.0, MOST_DEMAND);
-            let word = usage
-                .far
+            let rate = rate.clamp(0.0, MAX_DEMAND);
+            let latest = usage
+                .remote
                 .entry(region.clone())
-                .or_insert(FarDemand { rate, said });
-            if word.said <= said {
-                *word = FarDemand { rate, said };
+                .or_insert(RemoteDemand { rate, sent });
+            if latest.sent <= sent {
+                *latest = RemoteDemand { rate, sent };
             }
         }
     }
 
-    /// Makes the teams of a configuration known with their limits, and forgets the others.
+    /// Sets the teams of a configuration with their quotas, and drops all other teams.
     pub fn set_teams(&mut self, now: Moment, teams: impl IntoIterator<Item = (u32, QuotaLimit)>) {
-        let mut before = std::mem::take(&mut self.teams);
+        let mut previous = std::mem::take(&mut self.teams);
         for (team, limit) in teams {
-            let known = before.remove(&team);
+            let known = previous.remove(&team);
             let mut usage =
                 known.unwrap_or_else(|| TeamUsage::new(now, limit, &self.settings, &self.peers));
             usage.limit = limit;
@@ -258,11 +262,12 @@
         }
     }
 
-    /// Lets time count: buckets drain, and regions that have told nothing for long are
-    /// forgotten.
+    /// Advances time: drains buckets and drops demands of other regions that have expired.
     pub fn tick(&mut self, now: Moment) {
         for usage in self.teams.values_mut() {
-            usage.far.retain(|_, word| now - word.said < WORD_LIFE);
+            usage
+                .remote
+                .retain(|_, demand| now - demand.sent < DEMAND_TTL);
             usage.settle(now, &self.settings, &self.peers);
         }
     }
--- a/crates/fleet/src/quota/usage.rs
+++ b/crates/fleet/src/quota/usage.rs
@@ -1,4 +1,4 @@
-//! One team's use of its limit, as a VM knows it.
+//! Quota usage of one team, as tracked by this VM.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,158 +6,165 @@
 use onyxfall_policy::Moment;
 use onyxfall_types::RegionName;
 
-use super::side::{QuotaSide, SideState};
+use super::partition::{PartitionState, QuotaPartition};
 use super::{QuotaPeers, QuotaSettings};
 use crate::flow::FlowMeter;
 use crate::switches::QuotaMode;
 use crate::team::QuotaLimit;
 
-/// Time in which what a team asks for fades to a third. It adds to the time in which a
-/// flood is not known: one of 4.2 times the limit filled 99 % of what may run in a window
-/// with 0.25 s, 95 % with 0.15 (test `quota`).
+/// Time in which the metered demand of a team decays to a third. It adds to the time before
+/// excess demand is detected: with demand of 4.2 times the quota, a window was used to 99 % of
+/// what is allowed at 0.25 s and to 95 % at 0.15 s (test `quota`).
 const DEMAND_FADE: Duration = Duration::from_millis(150);
-/// Age up to which a region's word on a team counts as its demand of now. Words come each
-/// 0.4 s, and need 0.2 s for their way.
-const FRESH_WORD: Duration = Duration::from_millis(1500);
-/// Time in which a region's part of what is asked for becomes the usual one.
-const PART_FADE: Duration = Duration::from_millis(500);
-/// Least part of its region's VMs that a VM must hear to act for the whole region.
+/// Age up to which a region's reported demand counts as current. Reports are sent every 0.4 s
+/// and take 0.2 s to arrive.
+const FRESH_DEMAND: Duration = Duration::from_millis(1500);
+/// Time constant with which a region's share of the demand becomes its usual share.
+const SHARE_FADE: Duration = Duration::from_millis(500);
+/// Least fraction of its region's VMs that a VM must be connected to for acting on the demand
+/// of the whole region.
 const MAJORITY: f64 = 0.5;
 
-/// What another region told of a team.
+/// Demand of a team in another region.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct FarDemand {
+pub(super) struct RemoteDemand {
+    /// Units a second.
     pub(super) rate: f64,
-    pub(super) said: Moment,
+    /// When the other region sent the report.
+    pub(super) sent: Moment,
 }
 
-/// One team as this VM knows it.
+/// Quota usage of one team.
 #[derive(Clone, Debug)]
 pub(super) struct TeamUsage {
     pub(super) limit: QuotaLimit,
-    /// Units that are asked of this VM.
+    /// Meter of the demand at this VM.
     pub(super) own: FlowMeter,
-    /// The same of the region's other VMs, in units a second.
-    pub(super) near: f64,
-    pub(super) far: BTreeMap<RegionName, FarDemand>,
-    /// Units that the side has admitted and that have not drained.
+    /// Demand at the other VMs of this region, in units a second.
+    pub(super) peers: f64,
+    /// Demand in the other regions.
+    pub(super) remote: BTreeMap<RegionName, RemoteDemand>,
+    /// Units that the partition has admitted and that have not drained yet.
     pub(super) level: f64,
-    /// The part of them that is not known, but may have been admitted before this process
-    /// began. It drains first, and counts only while more than the limit is asked for:
-    /// where all VMs are started anew, teams that keep to their limit lose nothing.
+    /// Part of `level` that is not metered but may have been admitted before this process
+    /// started. It drains first and counts only while demand exceeds the quota: when all VMs
+    /// restart, teams within their quotas get no refusals because of it.
     assumed: f64,
-    /// When the level was last worked out, and what held from then on.
+    /// When `level` was last updated.
     at: Moment,
-    pub(super) held: SideState,
-    /// The region's part of the demand while all regions were heard.
-    usual_part: f64,
-    /// When it was last noted.
-    part_at: Moment,
+    /// Admission state since `at`.
+    pub(super) state: PartitionState,
+    /// This region's share of the demand while reports of all regions were received.
+    usual_share: f64,
+    /// When `usual_share` was last updated.
+    usual_share_at: Moment,
 }
 
 impl TeamUsage {
-    /// A team of which nothing is known: what it used before this process began may have
-    /// filled its bucket.
+    /// Creates the usage of a team without history. What the team used before this process
+    /// started may have filled its bucket.
     pub(super) fn new(
         now: Moment,
         limit: QuotaLimit,
         settings: &QuotaSettings,
         peers: &QuotaPeers,
     ) -> Self {
-        let level = settings.start_level(&limit);
-        let side = QuotaSide::alone(&limit, 1, 0.0);
+        let level = settings.initial_level(&limit);
+        let partition = QuotaPartition::alone(&limit, 1, 0.0);
         Self {
             limit,
             own: FlowMeter::new(DEMAND_FADE),
-            near: 0.0,
-            far: BTreeMap::new(),
+            peers: 0.0,
+            remote: BTreeMap::new(),
             level,
             assumed: level,
             at: now,
-            held: SideState::new(&limit, settings, side, 0.0),
-            usual_part: 1.0 / peers.regions.max(1) as f64,
-            part_at: now,
+            state: PartitionState::new(&limit, settings, partition, 0.0),
+            usual_share: 1.0 / peers.regions.max(1) as f64,
+            usual_share_at: now,
         }
     }
 
+    /// Demand in this region, in units a second.
     pub(super) fn region_demand(&self, now: Moment) -> f64 {
-        self.own.per_second(now) + self.near
+        self.own.per_second(now) + self.peers
     }
 
-    pub(super) fn far_demand(&self) -> f64 {
-        self.far.values().map(|word| word.rate).sum()
+    /// Demand in all other regions, in units a second.
+    pub(super) fn remote_demand(&self) -> f64 {
+        self.remote.values().map(|demand| demand.rate).sum()
     }
 
-    /// Whether every region that asked for something was heard lately.
-    pub(super) fn hears_regions(&self, now: Moment) -> bool {
-        let mut words = self.far.values();
-        words.all(|word| now - word.said < FRESH_WORD || word.rate <= 0.0)
+    /// Whether a recent report was received from every region that had demand.
+    pub(super) fn receives_all_regions(&self, now: Moment) -> bool {
+        let mut demands = self.remote.values();
+        demands.all(|demand| now - demand.sent < FRESH_DEMAND || demand.rate <= 0.0)
     }
 
-    /// What this VM's side may use. A side that hears all others shares one bucket with
-    /// them; one that does not has a part of its own, in the belief that the others use
-    /// theirs.
-    pub(super) fn side(&mut self, now: Moment, peers: &QuotaPeers) -> QuotaSide {
+    /// The partition of this VM. If it receives reports of all other VMs, it shares one bucket
+    /// with them. Otherwise it has a share of the quota, on the assumption that the other
+    /// partitions use up theirs.
+    pub(super) fn partition(&mut self, now: Moment, peers: &QuotaPeers) -> QuotaPartition {
         let limit = self.limit;
-        let (near, far) = (self.region_demand(now), self.far_demand());
-        let hears_regions = self.hears_regions(now);
-        if hears_regions {
-            self.note_part(now, near, far);
+        let (local, remote) = (self.region_demand(now), self.remote_demand());
+        let receives_all_regions = self.receives_all_regions(now);
+        if receives_all_regions {
+            self.update_usual_share(now, local, remote);
         }
-        if hears_regions && peers.reachable_share >= MAJORITY {
-            return QuotaSide {
+        if receives_all_regions && peers.reachable_share >= MAJORITY {
+            return QuotaPartition {
                 rate: limit.rate,
-                part: 1.0,
-                demand: near + far,
-                others: self.near + far,
+                share: 1.0,
+                demand: local + remote,
+                others: self.peers + remote,
             };
         }
-        // What was usual may have moved: half of it, and half of an equal part.
+        // The usual share may be outdated, so it is averaged with an equal share.
         let equal = 1.0 / peers.regions.max(1) as f64;
-        let region = f64::midpoint(self.usual_part, equal);
-        let heard = if peers.reachable_share < MAJORITY {
+        let region_share = f64::midpoint(self.usual_share, equal);
+        let reachable = if peers.reachable_share < MAJORITY {
             peers.reachable_share
         } else {
             1.0
         };
-        QuotaSide {
-            rate: limit.rate * region * heard,
-            part: region * heard,
-            demand: near,
-            others: self.near,
+        QuotaPartition {
+            rate: limit.rate * region_share * reachable,
+            share: region_share * reachable,
+            demand: local,
+            others: self.peers,
         }
     }
 
-    /// Notes the region's part of what is asked for.
-    pub(super) fn note_part(&mut self, now: Moment, near: f64, far: f64) {
-        if near + far <= 0.0 {
+    /// Updates this region's usual share of the demand.
+    pub(super) fn update_usual_share(&mut self, now: Moment, local: f64, remote: f64) {
+        if local + remote <= 0.0 {
             return;
         }
-        let fade = (now - self.part_at).as_secs_f64() / PART_FADE.as_secs_f64();
-        let seen = near / (near + far);
-        self.usual_part = seen + (self.usual_part - seen) * (-fade).exp();
-        self.part_at = now;
+        let fade = (now - self.usual_share_at).as_secs_f64() / SHARE_FADE.as_secs_f64();
+        let share = local / (local + remote);
+        self.usual_share = share + (self.usual_share - share) * (-fade).exp();
+        self.usual_share_at = now;
     }
 
-    /// Lets time count: the bucket drains, and others have been admitted.
+    /// Advances the bucket to `now`: it drains, and it fills with what other VMs have admitted.
     pub(super) fn settle(&mut self, now: Moment, settings: &QuotaSettings, peers: &QuotaPeers) {
         let seconds = (now - self.at).as_secs_f64();
-        let others = self.held.side.others * self.held.chance;
-        let drained = self.held.side.rate * seconds;
+        let others = self.state.partition.others * self.state.chance;
+        let drained = self.state.partition.rate * seconds;
         self.level = (self.level + others * seconds - drained).max(0.0);
         self.assumed = (self.assumed - drained).clamp(0.0, self.level);
         self.at = now;
-        let side = match settings.way {
-            QuotaMode::Pooled => self.side(now, peers),
+        let partition = match settings.way {
+            QuotaMode::Pooled => self.partition(now, peers),
             QuotaMode::EqualParts => {
-                QuotaSide::alone(&self.limit, peers.vms, self.own.per_second(now))
+                QuotaPartition::alone(&self.limit, peers.vms, self.own.per_second(now))
             }
         };
-        let counted = if side.demand > side.rate {
+        let counted = if partition.demand > partition.rate {
             self.level
         } else {
             self.level - self.assumed
         };
-        self.held = SideState::new(&self.limit, settings, side, counted);
+        self.state = PartitionState::new(&self.limit, settings, partition, counted);
     }
 }
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -1,59 +1,62 @@
-//! What a backend server says of itself in the store.
+//! Store entry of a backend server.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use onyxfall_types::{CenterName, ServerName, ServiceName, SoftwareVersion};
 
-use crate::life::{ServerInstance, StartTime};
+use crate::instance::{ServerInstance, StartTime};
 
-/// Whether a server takes new work.
+/// Whether a server accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerPhase {
-    /// It does.
+    /// The server accepts new requests.
     Ready,
-    /// It is leaving.
+    /// The server is draining.
     Draining {
-        /// After this it is gone, whatever it runs; none if it finishes.
+        /// Time after which the server exits, whatever it runs; none if it finishes its
+        /// requests.
         left: Option<Duration>,
     },
 }
 
-/// A server's entry.
+/// Store entry of a server instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerRecord {
     /// Name of the server.
     pub name: ServerName,
-    /// When it started.
+    /// Start time of the instance.
     pub born: StartTime,
-    /// Service that it belongs to.
+    /// Service that the server belongs to.
     pub service: ServiceName,
-    /// Version of its software, if it says so.
+    /// Version of its software, if reported.
     pub version: Option<SoftwareVersion>,
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the server.
     pub center: CenterName,
-    /// Requests that it works on at once.
+    /// Number of requests that the server processes concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the server accepts new requests.
     pub phase: ServerPhase,
-    /// How much longer it stays cold, counted from the entry's writing.
+    /// Remaining time for which the server stays cold, counted from the writing of the
+    /// entry.
     pub cold_left: Duration,
 }
 
 impl ServerRecord {
-    /// The life that wrote it.
-    pub fn life(&self) -> ServerInstance {
+    /// The instance that wrote the entry.
+    pub fn instance(&self) -> ServerInstance {
         ServerInstance {
             name: self.name.clone(),
             born: self.born,
         }
     }
 
-    /// This entry after one of the same life that had the phase `before`: a life that
-    /// leaves does not become ready again, so that an entry which says so is an older copy.
-    pub(crate) fn leaving_as(self, before: ServerPhase) -> Self {
+    /// Returns this entry with its phase corrected by that of the instance's previous
+    /// entry, `before`. A draining instance does not become ready again, so an entry
+    /// that says so is an older copy.
+    pub(crate) fn with_phase_after(self, before: ServerPhase) -> Self {
         match (before, self.phase) {
             (ServerPhase::Draining { .. }, ServerPhase::Ready) => Self {
                 phase: before,
--- a/crates/fleet/src/route.rs
+++ b/crates/fleet/src/route.rs
@@ -1,7 +1,7 @@
-//! The configuration in force: routes, services and limits.
+//! Active configuration: routes, services and limits.
 //!
-//! Invariant: the routes of a host are ordered by the length of their prefix,
-//! longest first, so that the first match is the right one.
+//! Invariant: the routes of a host are sorted by descending prefix length, so that the
+//! first match is the longest.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
@@ -12,7 +12,7 @@
 use onyxfall_types::{EntityMap, RegionName, RouteId, RouteName, ServiceName};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Version of the configuration; versions rise in uneven steps.
+/// Version of the configuration. Versions increase, not necessarily by one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConfigVersion(pub u64);
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// How often a request of a route may run.
+/// Whether a request of a route may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatRule {
     /// At most once for each attempt of the caller.
@@ -31,53 +31,53 @@
     Repeatable,
 }
 
-/// What an answer of a route looks like.
+/// Form of a route's responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseShape {
-    /// One body.
+    /// A single body.
     Whole,
-    /// A series of events.
+    /// A stream of events.
     Stream {
-        /// Longest pause between two events that still counts as in time.
+        /// Maximum time between two events that still counts as on time.
         gap_goal: Duration,
-        /// Whether another server may go on after a given event.
+        /// Whether another server may resume the stream after a given event.
         resumable: bool,
     },
 }
 
-/// A service that a route leads to.
+/// Service that a route leads to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteTarget {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its share relative to the other targets.
+    /// Weight relative to the other targets.
     pub weight: u32,
 }
 
-/// One route.
+/// Route of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteRule {
-    /// Its name.
+    /// Name of the route.
     pub name: RouteName,
-    /// Host that callers name.
+    /// Host name in requests.
     pub host: String,
-    /// Start of the paths that it takes.
+    /// Prefix of the matching request paths.
     pub path_prefix: String,
-    /// How often a request may run.
+    /// Whether a request may run more than once.
     pub repeat: RepeatRule,
-    /// What answers look like.
+    /// Form of the responses.
     pub shape: ResponseShape,
-    /// Longest time that a request may be held.
+    /// Maximum time that a request may be processed.
     pub timeout: Duration,
-    /// Time within which an answer (a stream's first event) is in time.
+    /// Time within which a response (the first event of a stream) is on time.
     pub goal: Duration,
-    /// Rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Where requests go; never empty.
+    /// Services that serve the route; never empty.
     pub targets: Vec<RouteTarget>,
-    /// Most servers that one attempt of a caller may be sent to.
+    /// Maximum number of servers that one attempt of a caller may be sent to.
     pub max_attempts: u32,
-    /// Regions that may serve it.
+    /// Regions that may serve the route.
     pub homes: HomeRegions,
     /// Whether requests need no key.
     pub is_public: bool,
@@ -89,7 +89,7 @@
         self.repeat == RepeatRule::Repeatable
     }
 
-    /// Whether another server may go on with a broken stream.
+    /// Whether another server may resume an interrupted stream.
     pub fn is_resumable(&self) -> bool {
         matches!(
             self.shape,
@@ -100,12 +100,13 @@
         )
     }
 
-    /// Whether answers are series of events.
+    /// Whether responses are streams of events.
     pub fn is_stream(&self) -> bool {
         matches!(self.shape, ResponseShape::Stream { .. })
     }
 
-    /// The service for the request with this id; the same one each time.
+    /// Selects the service for the request with this id. The same id always gives the
+    /// same service.
     pub fn service_for(&self, request_id: &str) -> &ServiceName {
         debug_assert!(!self.targets.is_empty(), "a route leads nowhere");
         let total: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
@@ -120,46 +121,46 @@
     }
 }
 
-/// What the model servers of a service can hold.
+/// Capacity of each model server of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineLimits {
-    /// Requests that run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Tokens that running requests and cached prefixes share.
+    /// Number of tokens that running requests and cached prefixes share.
     pub memory_tokens: u64,
-    /// Bytes of memory of one token.
+    /// Memory of one token in bytes.
     pub token_bytes: u64,
-    /// Whether its servers take copies of each other's runs.
+    /// Whether the servers hold backups of each other's runs.
     pub keeps_backups: bool,
 }
 
-/// A set of interchangeable backend servers.
+/// Set of interchangeable backend servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendService {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Connections that one server accepts from all callers together.
+    /// Number of connections that one server accepts from all callers together.
     pub max_connections: u32,
-    /// How long a server stays cold after a start under traffic.
+    /// How long a server stays cold under traffic after its start.
     pub cold_for: Duration,
-    /// Requests a second that a cold server bears.
+    /// Number of requests per second that a cold server can take.
     pub cold_rate: f64,
-    /// Limits of model servers; none for plain services.
+    /// Capacity of model servers; none for plain services.
     pub engine: Option<EngineLimits>,
 }
 
-/// Limits on what callers may send.
+/// Limits on the requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest head in bytes.
+    /// Maximum size of a request head in bytes.
     pub max_head: usize,
-    /// Largest body in bytes.
+    /// Maximum size of a body in bytes.
     pub max_body: usize,
-    /// Longest rest of an open connection.
+    /// Idle timeout of an open connection.
     pub idle: Duration,
 }
 
-/// The configuration of one version.
+/// One version of the configuration.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     version: ConfigVersion,
@@ -172,7 +173,7 @@
 }
 
 impl RouteTable {
-    /// Orders the routes of a configuration.
+    /// Builds the lookup tables of a configuration.
     pub fn new(
         version: ConfigVersion,
         rules: Vec<RouteRule>,
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Adds the teams: requests of routes that are not public need a key from now on.
+    /// Adds the teams. With teams, requests of routes that are not public need a key.
     #[must_use]
     pub fn with_teams(mut self, teams: TeamTable) -> Self {
         self.teams = Some(teams);
@@ -216,12 +217,12 @@
         self.teams.as_ref()
     }
 
-    /// A route by name.
+    /// Looks up a route by name.
     pub fn route(&self, name: &str) -> Option<&RouteRule> {
         self.by_name.get(name).map(|id| &self.routes[*id])
     }
 
-    /// Its version.
+    /// Version of the configuration.
     pub fn version(&self) -> ConfigVersion {
         self.version
     }
@@ -231,17 +232,17 @@
         self.limits
     }
 
-    /// A service by name.
+    /// Looks up a service by name.
     pub fn service(&self, name: &ServiceName) -> Option<&BackendService> {
         self.services.get(name)
     }
 
-    /// Every route.
+    /// All routes.
     pub fn routes(&self) -> impl Iterator<Item = &RouteRule> {
         self.routes.iter().map(|(_, rule)| rule)
     }
 
-    /// Every service.
+    /// All services.
     pub fn services(&self) -> impl Iterator<Item = &BackendService> {
         self.services.values()
     }
@@ -256,8 +257,8 @@
         self.routes.is_empty()
     }
 
-    /// Regions that are a home for most of a host's bound routes; empty if no
-    /// route has homes.
+    /// The regions that are listed as home by the most routes of a host; empty if no
+    /// route lists any.
     pub fn homes_of_host(&self, host: &str) -> Vec<RegionName> {
         let ids = self.by_host.get(host).map_or(&[][..], Vec::as_slice);
         let mut counts: BTreeMap<&RegionName, usize> = BTreeMap::new();
@@ -272,7 +273,8 @@
             .collect()
     }
 
-    /// The route of a request: the longest prefix of the host that begins the path.
+    /// Finds the route of a request: the one of the host with the longest prefix of the
+    /// path.
     ///
     /// ```
     /// use onyxfall_fleet::{CallerLimits, ConfigVersion, RouteTable};
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -1,4 +1,4 @@
-//! One backend server as this VM sees it: its entry, its work, its faults.
+//! State of one backend server as seen by this VM: entry, work and failures.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,56 +6,57 @@
 use onyxfall_policy::{CircuitBreaker, Moment, ServerBackoff};
 use onyxfall_types::{RegionName, RequestRate};
 
+use crate::cached_prefixes::CachedPrefixes;
 use crate::call::{CallRequirements, PromptSize};
 use crate::cold::ColdShare;
 use crate::flow::FlowMeter;
-use crate::kept::CachedPrefixes;
 use crate::learn::EngineLoad;
 use crate::limit::ServerLimit;
+use crate::liveness::{LivenessRecord, ServerVotes};
 use crate::record::{ServerPhase, ServerRecord};
-use crate::signs::{LivenessRecord, ServerVotes};
-use crate::word::{AMBIGUOUS_DRAINING, AmbiguousSignals};
+use crate::signals::{AMBIGUOUS_DRAINING, AmbiguousSignals};
 use crate::work::{PrefillTokens, WorkShare};
 
-/// Time in which what came to a server fades to a third: long enough for a steady
-/// figure at a few requests a second, short against the life of a prefix (tens of
+/// Decay time of the token flow to a server: long enough for a steady rate at a few
+/// requests per second, and short compared with the lifetime of a prefix (tens of
 /// seconds).
-const FLOW_FADE: Duration = Duration::from_secs(5);
-/// Weight of a new sample in running estimates.
+const FLOW_DECAY: Duration = Duration::from_secs(5);
+/// Weight of a new sample in moving averages.
 const SAMPLE_GAIN: f64 = 0.15;
-/// The same for the pace of events, which many requests share: one slow answer says
-/// more of the batch at that time than of the server.
-const PACE_GAIN: f64 = 0.05;
+/// Weight of a new sample of the interval between events. Many requests share it: one
+/// slow response indicates the state of the batch at that time rather than of the
+/// server.
+const INTERVAL_GAIN: f64 = 0.05;
 /// Bounds of the learned slowness.
 const SLOWNESS_RANGE: (f64, f64) = (0.8, 20.0);
-/// Pause after a server has said that it is full.
+/// Pause after a server has reported that it is full.
 const FULL_PAUSE: Duration = Duration::from_millis(120);
-/// Part of a model server's memory that admitted requests may fill.
-const MEMORY_PART: f64 = 0.9;
-/// How an attempt at a server ended.
+/// Fraction of a model server's memory that admitted requests may occupy.
+const MAX_MEMORY_FRACTION: f64 = 0.9;
+/// Outcome of an attempt at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// It gave its whole answer.
+    /// The server sent its whole response.
     Succeeded,
-    /// It answered with a failure of its own.
+    /// The server responded with an error of its own.
     Failed,
-    /// It could not be reached; the attempt never arrived.
+    /// The server could not be reached; the attempt never arrived.
     Unreachable,
-    /// It broke off after the attempt was sent.
+    /// The connection was lost after the attempt was sent.
     Broken,
-    /// It said that it was full.
+    /// The server reported that it was full.
     Shed,
-    /// The caller left, or time ran out; says nothing of the server.
+    /// The caller disconnected or the deadline passed; no information about the server.
     Unknown,
 }
 
-/// What a server had to do when an attempt was sent to it.
+/// Load of a server when an attempt was sent to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ServerLoad {
-    /// A model server's.
+    /// Load of a model server.
     Engine(EngineLoad),
-    /// How many turns of its slots a request to a plain service waits, its own
-    /// included.
+    /// Load of a plain server: number of service times that a request takes, queueing
+    /// and its own included.
     Plain(f64),
 }
 
@@ -65,87 +66,87 @@
     predicted: Duration,
     work: WorkShare,
     load: ServerLoad,
-    answered: Option<Moment>,
+    first_byte_at: Option<Moment>,
 }
 
-/// What the first byte of an answer shows.
+/// Measurements at the first byte of a response.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FirstByte {
-    /// What the server had to do.
+    /// Load of the server when the attempt was sent.
     pub(crate) load: ServerLoad,
-    /// Time from the sending.
+    /// Time since sending.
     pub(crate) took: Duration,
-    /// How many times slower than expected the server is, this answer included.
+    /// Slowness of the server relative to the prediction, this response included.
     pub(crate) slowness: f64,
-    /// How many times slower than usual this answer is.
+    /// Ratio of this response's time to the usual one.
     pub(crate) ratio: f64,
 }
 
-/// State of one life of a server.
+/// State of one server instance.
 #[derive(Clone, Debug)]
 pub struct ServerState {
-    /// Its entry as last seen.
+    /// Latest store entry.
     pub record: ServerRecord,
-    /// Its region.
+    /// Region of the server.
     pub region: RegionName,
-    /// Hash of its life.
-    life: u64,
-    /// When its entry was first seen.
-    seen: Moment,
+    /// Hash of the instance.
+    instance: u64,
+    /// When the entry was first received.
+    received_at: Moment,
     cold_until: Moment,
     cold_share: ColdShare,
     gone: bool,
-    /// Another life has its name: what ran here has ended.
+    /// Another instance has taken the name; the requests running here have ended.
     is_replaced: bool,
-    /// When it said in an answer that it leaves.
-    leaving_since: Option<Moment>,
-    rest: ServerBackoff,
-    /// When it last asked for rest.
-    rest_asked: Option<Moment>,
+    /// When a response first signalled that the server is draining.
+    draining_since: Option<Moment>,
+    backoff: ServerBackoff,
+    /// When a backoff was last requested.
+    backoff_requested_at: Option<Moment>,
     limit: ServerLimit,
     full_until: Moment,
     circuit: CircuitBreaker,
     slowness: f64,
-    pace_slowness: f64,
+    interval_slowness: f64,
     flow: FlowMeter,
     open: BTreeMap<u64, OpenAttempt>,
     own: WorkShare,
-    /// Other VMs' work, as they tell it.
+    /// Work of the other VMs, as reported by them.
     others: WorkShare,
-    kept: CachedPrefixes,
-    signs: LivenessRecord,
+    cached_prefixes: CachedPrefixes,
+    liveness: LivenessRecord,
 }
 
 impl ServerState {
-    /// A server seen for the first time.
+    /// Creates the state of a server seen for the first time.
     pub fn new(now: Moment, record: ServerRecord, region: RegionName, cold_rate: f64) -> Self {
         Self {
-            seen: now,
+            received_at: now,
             cold_until: now + record.cold_left,
             cold_share: ColdShare::new(now, cold_rate),
-            life: record.life().hash(),
+            instance: record.instance().hash(),
             record,
             region,
             gone: false,
             is_replaced: false,
-            leaving_since: None,
-            rest: ServerBackoff::default(),
-            rest_asked: None,
+            draining_since: None,
+            backoff: ServerBackoff::default(),
+            backoff_requested_at: None,
             limit: ServerLimit::default(),
             full_until: Moment::ZERO,
             circuit: CircuitBreaker::new(),
             slowness: 1.0,
-            pace_slowness: 1.0,
-            flow: FlowMeter::new(FLOW_FADE),
+            interval_slowness: 1.0,
+            flow: FlowMeter::new(FLOW_DECAY),
             open: BTreeMap::new(),
             own: WorkShare::default(),
             others: WorkShare::default(),
-            kept: CachedPrefixes::new(now),
-            signs: LivenessRecord::default(),
+            cached_prefixes: CachedPrefixes::new(now),
+            liveness: LivenessRecord::default(),
         }
     }
 
-    /// Takes a newer entry of the same life.
+    /// Applies a newer entry of the same instance.
     pub fn update(&mut self, now: Moment, record: ServerRecord) {
         if !record.cold_left.is_zero() {
             self.cold_until = self.cold_until.max(now + record.cold_left);
@@ -153,86 +154,88 @@
         self.record = record;
     }
 
-    /// Notes that it is cold for `left`.
-    pub fn chill(&mut self, now: Moment, left: Duration) {
+    /// Marks the server as cold for `left`.
+    pub fn mark_cold(&mut self, now: Moment, left: Duration) {
         self.cold_until = self.cold_until.max(now + left);
     }
 
-    /// Notes that this life has ended. What it kept is forgotten with it.
-    pub(crate) fn end_life(&mut self, now: Moment) {
+    /// Records that the instance has ended, and drops its cached prefixes.
+    pub(crate) fn end_instance(&mut self, now: Moment) {
         self.gone = true;
-        self.kept = CachedPrefixes::new(now);
+        self.cached_prefixes = CachedPrefixes::new(now);
     }
 
-    /// Notes that the server has started again: this life has ended, and what ran here.
+    /// Records that the server has restarted: this instance and the requests running on
+    /// it have ended.
     pub(crate) fn replace(&mut self) {
         self.gone = true;
         self.is_replaced = true;
     }
 
-    /// Whether the server has started again since.
+    /// Whether the server has restarted since.
     pub fn is_replaced(&self) -> bool {
         self.is_replaced
     }
 
-    /// Hash of this life, the same on every VM.
+    /// Hash of the instance, the same on every VM.
     pub fn instance_hash(&self) -> u64 {
-        self.life
+        self.instance
     }
 
-    /// Short tag of this life in frequent messages: the low half of its hash.
+    /// Short tag of the instance for frequent messages: the lower half of its hash.
     pub fn tag(&self) -> u32 {
-        let [_, _, _, _, a, b, c, d] = self.life.to_be_bytes();
+        let [_, _, _, _, a, b, c, d] = self.instance.to_be_bytes();
         u32::from_be_bytes([a, b, c, d])
     }
 
-    /// When its entry was first seen.
+    /// When the entry was first received.
     pub(crate) fn seen(&self) -> Moment {
-        self.seen
+        self.received_at
     }
 
-    /// Whether this life has ended.
+    /// Whether the instance has ended.
     pub fn is_gone(&self) -> bool {
         self.gone
     }
 
-    /// Whether it bears only few requests.
+    /// Whether the server is cold, that is, can take only few requests.
     pub fn is_cold(&self, now: Moment) -> bool {
         now < self.cold_until
     }
 
-    /// Whether its entry and its answers let it have new work.
+    /// Whether the entry and the responses of the server allow new requests.
     pub fn takes_work(&self) -> bool {
-        !self.gone && self.leaving_since.is_none() && self.record.phase == ServerPhase::Ready
+        !self.gone && self.draining_since.is_none() && self.record.phase == ServerPhase::Ready
     }
 
-    /// Whether its breaker and the rest that it wants let an attempt pass.
+    /// Whether the circuit breaker and the requested backoff allow an attempt.
     pub fn is_trusted(&self, now: Moment) -> bool {
         self.circuit.allows(now) && now >= self.full_until && self.is_backoff_over(now)
     }
 
-    /// Notes that it leaves; whether that is news.
+    /// Records that the server is draining. Returns whether this was unknown.
     pub(crate) fn record_draining(&mut self, now: Moment) -> bool {
-        let is_news = self.leaving_since.is_none();
-        self.leaving_since.get_or_insert(now);
-        is_news
+        let is_new = self.draining_since.is_none();
+        self.draining_since.get_or_insert(now);
+        is_new
     }
 
-    /// When it said that it leaves, if it did.
+    /// When a response first signalled that the server is draining, if any did.
     pub(crate) fn leaving_since(&self) -> Option<Moment> {
-        self.leaving_since
+        self.draining_since
     }
 
-    /// Notes that it wants nothing from this VM for `time`; whether it rests for longer by
-    /// that.
+    /// Records a backoff of `time` requested by the server. Returns whether this
+    /// extends the current backoff.
     pub(crate) fn record_backoff(&mut self, now: Moment, time: Duration) -> bool {
-        let before = self.rest.end(now);
-        self.rest.ask(now, time);
-        self.rest_asked = Some(now);
-        self.rest.end(now) > before
+        let before = self.backoff.end(now);
+        self.backoff.ask(now, time);
+        self.backoff_requested_at = Some(now);
+        self.backoff.end(now) > before
     }
 
-    /// The rate that it takes from all VMs together, if it is in need.
+    /// Request rate that the server accepts from all VMs together, if it has set a
+    /// limit.
     pub fn limit(&self, now: Moment) -> Option<RequestRate> {
         self.limit.rate(now, self.others.limits)
     }
@@ -245,49 +248,49 @@
         &mut self.limit
     }
 
-    /// The rest that it wants, if the moment of the asking passes.
+    /// Current backoff, if `passes` accepts the time of its request.
     pub(crate) fn requested_backoff(
         &self,
         passes: impl Fn(Option<Moment>) -> bool,
     ) -> Option<ServerBackoff> {
-        passes(self.rest_asked).then_some(self.rest)
+        passes(self.backoff_requested_at).then_some(self.backoff)
     }
 
-    /// Counts what a former life seems to have said.
-    pub(crate) fn apply_ambiguous(&mut self, now: Moment, words: &AmbiguousSignals) {
-        if words.leaves {
-            self.rest.ask(now, AMBIGUOUS_DRAINING);
+    /// Applies signals that may be those of a former instance.
+    pub(crate) fn apply_ambiguous(&mut self, now: Moment, signals: &AmbiguousSignals) {
+        if signals.leaves {
+            self.backoff.ask(now, AMBIGUOUS_DRAINING);
         }
-        if let Some(rest) = words.rest {
-            self.rest.join(rest);
+        if let Some(backoff) = signals.rest {
+            self.backoff.join(backoff);
         }
     }
 
-    /// Whether it may be chosen as far as the rest goes that it wants.
+    /// Whether the requested backoff is over.
     pub(crate) fn is_backoff_over(&self, now: Moment) -> bool {
-        self.rest.allows(now)
+        self.backoff.allows(now)
     }
 
-    /// End of the rest that it wants; none if that is over.
+    /// End of the requested backoff; none if it is over.
     pub fn backoff_end(&self, now: Moment) -> Option<Moment> {
-        self.rest.end(now)
+        self.backoff.end(now)
     }
 
-    /// Takes over what the same life said of itself before its entry had lapsed.
+    /// Copies the signals of the same instance from before its entry had expired.
     pub(crate) fn inherit_signals(&mut self, before: &Self) {
-        self.record = self.record.clone().leaving_as(before.record.phase);
-        self.leaving_since = before.leaving_since;
-        self.rest = before.rest;
-        self.rest_asked = before.rest_asked;
+        self.record = self.record.clone().with_phase_after(before.record.phase);
+        self.draining_since = before.draining_since;
+        self.backoff = before.backoff;
+        self.backoff_requested_at = before.backoff_requested_at;
         self.limit = before.limit;
     }
 
-    /// The share of its rate while it is cold.
+    /// This VM's share of the server's rate while it is cold.
     pub fn cold_share(&mut self) -> &mut ColdShare {
         &mut self.cold_share
     }
 
-    /// What this VM has under way there.
+    /// This VM's own work at the server.
     pub fn own_work(&self, now: Moment) -> WorkShare {
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let flow = self.flow.per_second(now).round() as u64;
@@ -299,69 +302,70 @@
         }
     }
 
-    /// This VM's vote on whether it lives.
+    /// This VM's vote on whether the server is responsive.
     fn own_vote(&self, now: Moment) -> ServerVotes {
-        let waiting = self.open.values().find(|open| open.answered.is_none());
+        let waiting = self.open.values().find(|open| open.first_byte_at.is_none());
         let waiting = waiting.map(|open| (open.started, open.predicted));
-        self.signs.vote(now, waiting)
+        self.liveness.vote(now, waiting)
     }
 
-    /// The votes of all VMs on whether it lives.
+    /// Votes of all VMs on whether the server is responsive.
     pub fn votes(&self, now: Moment) -> ServerVotes {
         self.others.votes.plus(self.own_vote(now))
     }
 
-    /// The last sign of life that this VM has had of it.
+    /// Last liveness signal that this VM has received from the server.
     pub fn last_liveness(&self) -> Option<Moment> {
-        self.signs.last_liveness()
+        self.liveness.last_liveness()
     }
 
-    /// Notes a sign of life.
+    /// Records a liveness signal.
     pub fn record_liveness(&mut self, now: Moment) {
-        self.signs.record_liveness(now);
+        self.liveness.record_liveness(now);
     }
 
-    /// Sets what all other VMs have under way there.
+    /// Sets the total work of the other VMs at the server.
     pub fn set_others(&mut self, now: Moment, work: WorkShare) {
         self.others = work;
-        self.kept.set_remote_flow(now, work.flow);
+        self.cached_prefixes.set_remote_flow(now, work.flow);
     }
 
-    /// All work under way there, as far as known.
+    /// Total known work at the server.
     pub fn work(&self) -> WorkShare {
         self.own.plus(self.others)
     }
 
-    /// Whether another request fits. A plain service's server takes `turns` for each
-    /// of its slots.
-    pub(crate) fn has_room(&self, needs: &CallRequirements, turns: f64) -> bool {
+    /// Whether the server has capacity for another request. A plain service's server
+    /// takes `requests_per_slot` requests per slot.
+    pub(crate) fn has_room(&self, needs: &CallRequirements, requests_per_slot: f64) -> bool {
         let work = self.work();
         match needs.engine {
-            None => f64::from(work.requests) < f64::from(self.record.slots) * turns,
+            None => f64::from(work.requests) < f64::from(self.record.slots) * requests_per_slot,
             Some(engine) => {
-                let room = MEMORY_PART * engine.memory_tokens as f64;
+                let usable_memory = MAX_MEMORY_FRACTION * engine.memory_tokens as f64;
                 work.requests < engine.slots
-                    && (work.memory + needs.prompt.memory()) as f64 <= room.max(1.0)
+                    && (work.memory + needs.prompt.memory()) as f64 <= usable_memory.max(1.0)
             }
         }
     }
 
-    /// Prompt tokens that it would have to read.
+    /// Prompt tokens that the server would have to prefill.
     pub fn prefill_tokens(&self, now: Moment, prompt: &PromptSize) -> u64 {
-        prompt.input.saturating_sub(self.kept_tokens(now, prompt))
+        prompt.input.saturating_sub(self.cached_tokens(now, prompt))
     }
 
-    /// Tokens of parts that others share and that it would have to read.
+    /// Tokens of shared parts that the server would have to prefill.
     pub fn shared_prefill_tokens(&self, now: Moment, prompt: &PromptSize) -> u64 {
         let shared = prompt.shared_tokens();
-        shared.saturating_sub(self.kept_tokens(now, prompt))
+        shared.saturating_sub(self.cached_tokens(now, prompt))
     }
 
-    fn kept_tokens(&self, now: Moment, prompt: &PromptSize) -> u64 {
-        self.kept.tokens_of(now, prompt, self.work().memory)
+    fn cached_tokens(&self, now: Moment, prompt: &PromptSize) -> u64 {
+        self.cached_prefixes
+            .tokens_of(now, prompt, self.work().memory)
     }
 
-    /// What it has to do when a request comes now.
+    /// Load of the server for a request that is sent now.
     pub(crate) fn load(&self, now: Moment, needs: &CallRequirements) -> ServerLoad {
         let work = self.work();
         if needs.engine.is_none() {
@@ -378,51 +382,52 @@
         })
     }
 
-    /// How many times slower than expected it answers; an attempt that is
-    /// overdue counts at once.
+    /// Ratio of response times to predictions. An overdue attempt counts immediately.
     pub fn slowness(&self, now: Moment) -> f64 {
         let overdue = self
             .open
             .values()
             .next()
-            .filter(|open| open.answered.is_none())
+            .filter(|open| open.first_byte_at.is_none())
             .map_or(0.0, |open| {
                 (now - open.started).as_secs_f64() / open.predicted.as_secs_f64().max(1e-3)
             });
-        // Up to three times the prediction is the usual spread of a busy batch.
+        // Up to three times the prediction is within the normal variance of a busy
+        // batch.
         let overdue = if overdue > 3.0 { overdue / 3.0 } else { 0.0 };
         self.slowness
             .max(overdue)
             .clamp(SLOWNESS_RANGE.0, SLOWNESS_RANGE.1)
     }
 
-    /// Notes that it holds a copy of a run.
+    /// Records that the server holds a backup of a run.
     pub fn hold_copy(&mut self, memory: u64) {
-        self.own = self.own.plus(copy_share(memory));
+        self.own = self.own.plus(backup_share(memory));
     }
 
-    /// Notes that the copy is no longer needed.
+    /// Records that a backup is no longer needed.
     pub fn drop_copy(&mut self, memory: u64) {
-        self.own = self.own.without(copy_share(memory));
+        self.own = self.own.without(backup_share(memory));
     }
 
-    /// How many times slower than expected its answers came.
+    /// Learned ratio of response times to predictions.
     pub(crate) fn learned_slowness(&self) -> f64 {
         self.slowness
     }
 
-    /// How many times slower than expected its events follow each other.
-    pub(crate) fn pace_slowness(&self) -> f64 {
-        self.pace_slowness
+    /// Learned ratio of event intervals to predictions.
+    pub(crate) fn interval_slowness(&self) -> f64 {
+        self.interval_slowness
     }
 
-    /// Notes that the events of an answer took `ratio` of the expected time.
-    pub(crate) fn note_pace(&mut self, ratio: f64) {
+    /// Records that the events of a response took `ratio` times the predicted time.
+    pub(crate) fn record_event_interval(&mut self, ratio: f64) {
         let ratio = ratio.clamp(SLOWNESS_RANGE.0, SLOWNESS_RANGE.1);
-        self.pace_slowness *= (ratio / self.pace_slowness).powf(PACE_GAIN);
+        self.interval_slowness *= (ratio / self.interval_slowness).powf(INTERVAL_GAIN);
     }
 
-    /// Notes that attempt `id` is sent; its first byte is expected after `predicted`.
+    /// Records that attempt `id` is sent, with its first byte expected after
+    /// `predicted`.
     pub(crate) fn start(
         &mut self,
         now: Moment,
@@ -441,45 +446,47 @@
         if self.circuit.allows(now) {
             self.circuit.start(now);
         }
-        self.rest.note_sent(id);
+        self.backoff.note_sent(id);
         self.limit.note_sent(now);
         self.own = self.own.plus(work);
-        let brought = unread + needs.prompt.likely_output();
-        self.flow.note(now, brought);
-        self.kept.bring(brought);
+        let added_tokens = unread + needs.prompt.likely_output();
+        self.flow.note(now, added_tokens);
+        self.cached_prefixes.bring(added_tokens);
         if let Some(engine) = needs.engine {
-            self.kept.set_capacity(engine.memory_tokens);
+            self.cached_prefixes.set_capacity(engine.memory_tokens);
         }
         let attempt = OpenAttempt {
             started: now,
             predicted,
             work,
             load,
-            answered: None,
+            first_byte_at: None,
         };
         self.open.insert(id, attempt);
-        self.kept.touch(now, &needs.prompt, self.work().memory);
+        self.cached_prefixes
+            .touch(now, &needs.prompt, self.work().memory);
     }
 
-    /// Notes the first byte of attempt `id`.
-    pub(crate) fn answer(&mut self, now: Moment, id: u64) -> Option<FirstByte> {
+    /// Records the first byte of attempt `id`.
+    pub(crate) fn record_first_byte(&mut self, now: Moment, id: u64) -> Option<FirstByte> {
         let open = self.open.get_mut(&id)?;
-        if open.answered.is_some() {
+        if open.first_byte_at.is_some() {
             return None;
         }
-        open.answered = Some(now);
-        self.rest.note_taken(id);
-        self.signs.record_liveness(now);
-        let read = WorkShare {
+        open.first_byte_at = Some(now);
+        self.backoff.note_taken(id);
+        self.liveness.record_liveness(now);
+        let prefilled = WorkShare {
             unread: open.work.unread,
             ..WorkShare::default()
         };
-        self.own = self.own.without(read);
-        open.work = open.work.without(read);
+        self.own = self.own.without(prefilled);
+        open.work = open.work.without(prefilled);
         let (took, predicted, load) = (now - open.started, open.predicted, open.load);
         let ratio = took.as_secs_f64() / predicted.as_secs_f64().max(1e-3);
         let ratio = (ratio * self.slowness).clamp(SLOWNESS_RANGE.0, SLOWNESS_RANGE.1);
-        // The mean of logarithms lies near the median, and half of all answers below it.
+        // The mean of the logarithms is close to the median, with half of all responses
+        // below it.
         self.slowness *= (ratio / self.slowness).powf(SAMPLE_GAIN);
         self.circuit.succeed();
         let slowness = self.slowness;
@@ -491,34 +498,34 @@
         })
     }
 
-    /// What the server had to do when attempt `id` was sent, and the time since its
-    /// first byte.
-    pub(crate) fn since_answer(&self, now: Moment, id: u64) -> Option<(ServerLoad, Duration)> {
+    /// Load of the server when attempt `id` was sent, and the time since its first
+    /// byte.
+    pub(crate) fn since_first_byte(&self, now: Moment, id: u64) -> Option<(ServerLoad, Duration)> {
         let open = self.open.get(&id)?;
-        Some((open.load, now - open.answered?))
+        Some((open.load, now - open.first_byte_at?))
     }
 
-    /// Notes the end of attempt `id`.
+    /// Records the end of attempt `id`.
     pub fn end(&mut self, now: Moment, id: u64, result: AttemptResult) {
         if let Some(open) = self.open.remove(&id) {
             self.own = self.own.without(open.work);
         }
-        self.rest.note_end(id);
+        self.backoff.note_end(id);
         match result {
             AttemptResult::Succeeded => {
-                self.signs.record_liveness(now);
+                self.liveness.record_liveness(now);
                 self.circuit.succeed();
             }
             AttemptResult::Failed => {
                 self.circuit.fail(now);
             }
             AttemptResult::Unreachable | AttemptResult::Broken => {
-                self.signs.record_disconnect(now);
+                self.liveness.record_disconnect(now);
                 self.circuit.fail(now);
                 self.circuit.trip(now);
             }
             AttemptResult::Shed => {
-                self.signs.record_liveness(now);
+                self.liveness.record_liveness(now);
                 self.circuit.forget();
                 self.full_until = now + FULL_PAUSE;
             }
@@ -527,8 +534,8 @@
     }
 }
 
-/// The work that a copy is at the server that holds it: memory, and nothing to do.
-fn copy_share(memory: u64) -> WorkShare {
+/// Work of a backup at the server that holds it: memory only.
+fn backup_share(memory: u64) -> WorkShare {
     WorkShare {
         memory,
         ..WorkShare::default()
--- a/crates/fleet/src/switches.rs
+++ b/crates/fleet/src/switches.rs
@@ -1,8 +1,7 @@
-//! Which mechanisms of the decisions are on, and which policy chooses servers.
+//! Switches for the routing mechanisms, and the policy that chooses servers.
 //!
-//! Every mechanism can be turned off by its name, so that what it is worth is
-//! measured by a line of the settings and not by another build. The other
-//! policies are baselines to compare with.
+//! Every mechanism can be turned off by name in the settings, so that its effect can be
+//! measured without another build. The other policies are baselines for comparison.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -10,7 +9,7 @@
 
 use thiserror::Error;
 
-/// A name in the settings that stands for nothing.
+/// Unknown name in the settings.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("unknown {what} `{name}`: expected one of {expected}")]
 pub struct UnknownName {
@@ -31,10 +30,10 @@
         }
 
         impl $type {
-            /// Every value.
+            /// All values.
             pub const ALL: &[Self] = &[$(Self::$value,)*];
 
-            /// Its name in settings and logs.
+            /// Name in settings and logs.
             pub const fn as_str(self) -> &'static str {
                 match self {
                     $(Self::$value => $name,)*
@@ -64,66 +63,70 @@
 }
 
 named_values! {
-    /// How servers are chosen.
+    /// Policy for choosing servers.
     ChoicePolicy, "policy", {
-        /// By expected times; the product's own policy.
+        /// By expected times; the default.
         Expected = "expected",
-        /// By expected times, never in another region. A baseline.
+        /// By expected times, within the own region only. A baseline.
         LocalOnly = "local-only",
-        /// In turn among the servers of the region that have room. A baseline.
+        /// Round-robin among the servers of the region with capacity. A baseline.
         RoundRobin = "round-robin",
-        /// At random among the servers with room, of all regions. A baseline.
+        /// At random among the servers with capacity of all regions. A baseline.
         Random = "random",
     }
 }
 
 named_values! {
-    /// How limits of teams are divided between VMs.
-    QuotaMode, "way of limits", {
-        /// By what is asked for, as the VMs tell each other.
+    /// Mode of dividing team quotas between VMs.
+    QuotaMode, "quota mode", {
+        /// By demand, which the VMs report to each other.
         Pooled = "pooled",
-        /// Every VM has the same part. A baseline.
+        /// In equal parts. A baseline.
         EqualParts = "equal-parts",
     }
 }
 
 named_values! {
-    /// A mechanism that can be turned off.
+    /// Mechanism that can be turned off.
     DecisionSwitch, "mechanism", {
         /// Requests with the same shared prefix go to the same server.
         PrefixOwner = "prefix-owner",
-        /// A busy owner's prefix spills over to the next servers in its order.
+        /// A busy owner's prefix spills over to the next servers in rendezvous order.
         PrefixSpill = "prefix-spill",
-        /// Requests go to another region that answers earlier.
+        /// Requests are forwarded to another region that responds earlier.
         SendAway = "send-away",
-        /// Requests follow their prefix into the region that keeps it.
+        /// Requests follow their prefix into the region that has it cached.
         PrefixHome = "prefix-home",
-        /// What is expected too late is refused at once.
+        /// Requests that are expected to miss their deadline are rejected immediately.
         RefusePredicted = "refuse-predicted",
-        /// A place where the whole answer is expected to end after the caller has left
-        /// is no place.
+        /// Servers and regions at which the whole response is expected to end after the
+        /// caller's deadline are not used.
         WholeAnswers = "whole-answers",
-        /// Runs that may not be repeated are copied to a second server when that pays.
+        /// Runs that may not be repeated are copied to a second server if the risk
+        /// exceeds the cost.
         Backups = "backups",
-        /// Servers that fail get no work for a while.
+        /// Failing servers get no requests for a while.
         CircuitBreaker = "circuit-breaker",
-        /// A server that several VMs have no sign of life of gets no work from any, and
-        /// what waits there is moved.
+        /// A server from which several VMs have received no liveness signal gets no
+        /// requests from any VM, and the requests waiting there are moved.
         ServerVotes = "server-votes",
-        /// Requests that servers crash under are run alone, and then refused.
+        /// Requests that are suspected of crashing servers are run in isolation, and
+        /// then rejected.
         CrashSuspects = "crash-suspects",
-        /// A cold server's rate is shared between VMs.
+        /// The rate of a cold server is shared between VMs.
         ColdShare = "cold-share",
-        /// Connections are dialled again long before the kernel would.
+        /// Connection attempts are retried long before the kernel would retry them.
         EarlyDial = "early-dial",
-        /// Times are predicted by what answers have taught, not by the prior alone.
+        /// Times are predicted by learned costs rather than by the prior alone.
         LearnedCosts = "learned-costs",
-        /// A region that is offered more of a plain service than it can do sends the rest
-        /// to regions with spare capacity.
+        /// A region that is offered more requests of a plain service than it can serve
+        /// forwards the excess to regions with spare capacity.
         RegionRates = "region-rates",
-        /// Servers are drawn so that VMs with the same knowledge fill them evenly.
+        /// Servers are drawn at random so that VMs with the same load data fill them
+        /// evenly.
         LevelDraw = "level-draw",
-        /// Heartbeats within a region are sent more often than needed to tell life.
+        /// Heartbeats within a region are sent more often than liveness detection
+        /// requires.
         NearHeartbeats = "near-heartbeats",
     }
 }
@@ -133,7 +136,7 @@
     names.join(", ")
 }
 
-/// What is on: all mechanisms but those that were turned off.
+/// Choice policy and enabled mechanisms: all except those that were turned off.
 ///
 /// ```
 /// use onyxfall_fleet::{ChoicePolicy, DecisionSwitch, DecisionSwitches};
@@ -155,7 +158,7 @@
 }
 
 impl DecisionSwitches {
-    /// The policy, and every mechanism on but those in `off`.
+    /// Creates switches with a policy and all mechanisms enabled except those in `off`.
     pub fn new(policy: ChoicePolicy, off: impl IntoIterator<Item = DecisionSwitch>) -> Self {
         Self {
             policy,
@@ -163,12 +166,12 @@
         }
     }
 
-    /// How servers are chosen.
+    /// Policy for choosing servers.
     pub fn policy(&self) -> ChoicePolicy {
         self.policy
     }
 
-    /// Whether a mechanism is on.
+    /// Whether a mechanism is enabled.
     pub fn is_on(&self, switch: DecisionSwitch) -> bool {
         !self.off.contains(&switch)
     }
--- a/crates/fleet/src/team.rs
+++ b/crates/fleet/src/team.rs
@@ -1,8 +1,8 @@
-//! The teams of a configuration: their keys, ranks, homes and limits.
+//! Teams of a configuration: API keys, priorities, home regions and quotas.
 //!
-//! A key itself is held nowhere: it is digested where it is read, and the digest is
-//! looked up in a table whose hash is keyed by the process, so that no comparison of
-//! texts can be timed.
+//! Plain keys are not stored. A key is digested where it is read, and the digest is looked up
+//! in a hash table that is keyed per process, so that no comparison of key texts can be
+//! timed.
 //!
 //! Invariant: a key that two teams claim belongs to neither.
 
@@ -15,12 +15,12 @@
 use crate::call::PromptSize;
 use crate::home::HomeRegions;
 
-/// Digest of a caller's key.
+/// Digest of a caller's API key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// A digest of these bytes.
+    /// Creates a digest from its bytes.
     pub const fn new(bytes: [u8; 32]) -> Self {
         Self(bytes)
     }
@@ -32,13 +32,13 @@
     }
 }
 
-/// What a limit counts.
+/// Unit in which a quota is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaUnit {
-    /// Tokens of a request: its prompt and the most of its answer. A request that tells
-    /// none counts as so many.
+    /// Tokens of a request: its prompt and the maximum length of its response. A request
+    /// without token counts costs `plain` tokens.
     Tokens {
-        /// Tokens of a request to a plain service.
+        /// Tokens charged for a request to a plain service.
         plain: u64,
     },
     /// Requests.
@@ -46,7 +46,7 @@
 }
 
 impl QuotaUnit {
-    /// What a request counts.
+    /// Cost of a request in this unit.
     ///
     /// ```
     /// use onyxfall_fleet::{PromptSize, QuotaUnit};
@@ -65,50 +65,51 @@
     }
 }
 
-/// How much a team may use, over all VMs.
+/// Quota of a team over all VMs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaLimit {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units that may come at once after a rest.
+    /// Units that may be used at once after an idle time.
     pub burst: f64,
-    /// The unit.
+    /// Unit of `rate` and `burst`.
     pub unit: QuotaUnit,
 }
 
-/// A team as the configuration describes it.
+/// Configuration of one team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamRule {
-    /// Its name.
+    /// Name of the team.
     pub name: TeamName,
-    /// Digests of its keys.
+    /// Digests of the team's API keys.
     pub keys: Vec<KeyDigest>,
-    /// Rank of its requests instead of their routes'; 0 is the highest.
+    /// Priority of the team's requests, overriding that of their routes; 0 is the highest.
     pub priority: Option<u8>,
-    /// What it may use; none without a limit.
+    /// Quota of the team; `None` if it has no limit.
     pub quota: Option<QuotaLimit>,
-    /// Regions that may serve it.
+    /// Regions that may serve the team's requests.
     pub homes: HomeRegions,
 }
 
 impl TeamRule {
-    /// Short name of what a team asks for, in messages between VMs.
+    /// Short identifier of the team in messages between VMs.
     pub fn tag(&self) -> u32 {
         name_tag(&format!("team {}", self.name))
     }
 }
 
-/// The teams of one configuration, by key and by name.
+/// Teams of one configuration, indexed by key and by name.
 #[derive(Clone, Debug, Default)]
 pub struct TeamTable {
     teams: EntityMap<TeamId, TeamRule>,
     tags: EntityMap<TeamId, u32>,
+    /// Team of each key; `None` if several teams claim the key.
     by_key: HashMap<KeyDigest, Option<TeamId>>,
     by_name: HashMap<TeamName, TeamId>,
 }
 
 impl TeamTable {
-    /// Indexes teams by their keys and names.
+    /// Creates a table of teams.
     pub fn new(rules: Vec<TeamRule>) -> Self {
         let mut table = Self::default();
         for rule in rules {
@@ -136,32 +137,32 @@
         }
     }
 
-    /// The team that holds a key.
+    /// The team that a key belongs to.
     pub fn holder(&self, key: &KeyDigest) -> Option<TeamId> {
         self.by_key.get(key).copied().flatten()
     }
 
-    /// A team by name.
+    /// The team with a name.
     pub fn named(&self, name: &str) -> Option<TeamId> {
         self.by_name.get(name).copied()
     }
 
-    /// A team.
+    /// Configuration of a team.
     pub fn rule(&self, id: TeamId) -> &TeamRule {
         &self.teams[id]
     }
 
-    /// Short name of a team in messages between VMs.
+    /// Short identifier of a team in messages between VMs.
     pub fn tag(&self, id: TeamId) -> u32 {
         self.tags[id]
     }
 
-    /// Every team.
+    /// Iterates over all teams.
     pub fn iter(&self) -> impl Iterator<Item = (TeamId, &TeamRule)> {
         self.teams.iter()
     }
 
-    /// Keys that more than one team claims.
+    /// Number of keys that more than one team claims.
     pub fn disputed_keys(&self) -> usize {
         self.by_key.values().filter(|team| team.is_none()).count()
     }
--- a/crates/fleet/src/version.rs
+++ b/crates/fleet/src/version.rs
@@ -1,7 +1,8 @@
-//! Servers of two versions of a service, while the operator moves its traffic.
+//! Choice between servers of two versions of a service during a rollout.
 //!
-//! Invariant: a server of a closed version gets nothing, by whatever way it would be
-//! chosen; one of the other version that is open gets only what is meant for it.
+//! Invariant: a server of a closed version gets no requests, whichever way it would be
+//! chosen; an open server of the non-default version gets only the requests that are meant
+//! for that version.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,21 +16,24 @@
 use crate::choose::LocalOption;
 use crate::view::FleetView;
 
-/// One of so many servers of the new version takes the sample, so that it meets the load
-/// that the old ones bear; and how many at least, so that one that fails by itself is
-/// told from its version.
-const SAMPLE_SERVERS: usize = 20;
-const LEAST_SAMPLE_SERVERS: usize = 6;
-/// Time after a server was first seen in which its answers are slow by themselves.
+/// One of this many servers of the new version gets canary requests, so that each has about
+/// the load of a server of the old version.
+const SERVERS_PER_CANARY: usize = 20;
+/// Least number of canary servers, so that the failure of a single server can be told from a
+/// failure of its version.
+const MIN_CANARY_SERVERS: usize = 6;
+/// Time after a server was first seen in which its responses are slow regardless of its
+/// version.
 const WARM_UP: Duration = Duration::from_secs(3);
 
 impl FleetView {
-    /// Sets which versions of services may have requests; of other services all may.
+    /// Sets which versions may get requests, by service. All versions of other services may.
     pub fn set_version_rules(&mut self, rules: BTreeMap<ServiceName, VersionRule>) {
         self.version_rules = rules;
     }
 
-    /// The version that a server runs, while two of its service have servers.
+    /// The side of the rollout that a server's version is on; `None` if its service has no
+    /// version rule.
     pub fn side_of(&self, id: ServerId) -> Option<VersionSide> {
         let rule = self.version_rule(id)?;
         Some(side(rule, self.server(id).record.version.as_ref()))
@@ -42,19 +46,19 @@
         self.version_rules.get(&self.server(id).record.service)
     }
 
-    /// Whether a server's version is the one that requests go to.
+    /// Whether requests of server `id`'s service go to the version of `id` by default.
     pub(crate) fn is_usual_version(&self, id: ServerId) -> bool {
         let rule = self.version_rule(id);
         rule.is_none_or(|rule| self.side_of(id) == Some(rule.usual))
     }
 
-    /// Whether nothing may begin at a server because of its version.
+    /// Whether server `id` may get no new requests because of its version.
     pub(crate) fn is_closed_version(&self, id: ServerId) -> bool {
         let rule = self.version_rule(id);
         rule.is_some_and(|rule| rule.other_is_closed && self.side_of(id) != Some(rule.usual))
     }
 
-    /// Servers of a service by region and version.
+    /// Number of servers of a service by region, of version `target` and of other versions.
     pub fn version_counts(
         &self,
         service: &ServiceName,
@@ -72,15 +76,15 @@
         counts
     }
 
-    /// Whether the time of a server's answers says something of its version: shortly
-    /// after its start it is slow by itself.
+    /// Whether response times of server `id` are meaningful for its version. Shortly after
+    /// its start a server is slow regardless of its version.
     pub fn is_warm(&self, now: Moment, id: ServerId) -> bool {
         let server = self.server(id);
         !server.is_cold(now) && now - server.seen() >= WARM_UP
     }
 
-    /// The best server of this region for a request that is meant for a version which
-    /// is not the usual one.
+    /// The best server of this region for a request that is meant for a version other than
+    /// the default one.
     pub fn choose_version(
         &mut self,
         now: Moment,
@@ -90,29 +94,29 @@
     ) -> LocalOption {
         let mut servers = self.servers_of_side(needs, side);
         if side == VersionSide::New {
-            self.keep_sample(&mut servers);
+            self.retain_canaries(&mut servers);
         }
         self.choose_among(now, needs, servers, rng)
     }
 
-    /// The servers of this region and of a version that could have a request.
+    /// The servers of this region and of one version that may get a request.
     fn servers_of_side(&self, needs: &CallRequirements, side: VersionSide) -> Vec<ServerId> {
         if !needs.allows_region(&self.place().region) {
             return Vec::new();
         }
         let servers = self.servers_of(&needs.service).iter().copied();
         let servers = servers.filter(|id| {
-            let is_near = self.server(*id).region == self.place().region;
+            let is_local = self.server(*id).region == self.place().region;
             let is_open = self.may_work(*id) && !self.is_closed_version(*id);
-            is_near && is_open && self.side_of(*id) == Some(side)
+            is_local && is_open && self.side_of(*id) == Some(side)
         });
         servers.collect()
     }
 
-    /// Keeps the servers that take the sample: the same on every VM.
-    fn keep_sample(&self, servers: &mut Vec<ServerId>) {
-        let count = servers.len().div_ceil(SAMPLE_SERVERS);
-        let count = count.max(LEAST_SAMPLE_SERVERS);
+    /// Reduces `servers` to the canary servers, which are the same on every VM.
+    fn retain_canaries(&self, servers: &mut Vec<ServerId>) {
+        let count = servers.len().div_ceil(SERVERS_PER_CANARY);
+        let count = count.max(MIN_CANARY_SERVERS);
         servers.sort_by_cached_key(|id| {
             stable_hash(&["sample", self.server(*id).record.name.as_str()])
         });
@@ -120,6 +124,7 @@
     }
 }
 
+/// The side of a rollout that a version is on.
 fn side(rule: &VersionRule, version: Option<&SoftwareVersion>) -> VersionSide {
     if version == Some(&rule.target) {
         VersionSide::New
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,10 +1,10 @@
-//! The backend servers that there are, as this VM knows them.
+//! This VM's view of the backend servers.
 //!
-//! Servers come and go by themselves; each life has a name and a [`ServerId`]
-//! that is never used again, so that the end of an attempt always finds the
-//! life that it was sent to.
+//! Servers come and go on their own. Each instance has a name and a [`ServerId`] that
+//! is never reused, so that the end of an attempt is always recorded at the instance
+//! that it was sent to.
 //!
-//! Invariant: a life that was seen leaving or gone never gets new work.
+//! Invariant: an instance that was seen draining or gone never gets new requests.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -19,113 +19,116 @@
 use crate::balance::RateTable;
 use crate::call::CallRequirements;
 use crate::flow::FlowMeter;
+use crate::instance::StartTime;
 use crate::learn::ServiceCosts;
-use crate::life::StartTime;
 use crate::pools::{
-    DormantServer, LEAST_WORKING, PoolId, PoolKey, PoolPosition, PoolServer, PoolTable,
+    DormantServer, MIN_WORKING, PoolId, PoolKey, PoolPosition, PoolServer, PoolTable,
 };
 use crate::record::ServerRecord;
 use crate::route::RouteTable;
 use crate::server::ServerState;
 use crate::switches::{DecisionSwitch, DecisionSwitches};
 
-/// Delay that is accepted for 1,000 tokens of a shared part that need not be read again,
-/// where the settings name none. Short shared parts are held to their server by it: on a
-/// day with a loss of power 15.1 M tokens of shared parts were read again without, 11.2 M
-/// with it, and worth was 0.692 and 0.708; on three days with a rush 0.589 and 0.592.
+/// Delay per 1,000 tokens of a shared part that is accepted to avoid prefilling them
+/// again, if the settings give none. It also ties short shared parts to their server:
+/// on a day with a power loss 15.1 M tokens of shared parts were prefilled again
+/// without it and 11.2 M with it, at a value of 0.692 and 0.708; on three days with a
+/// load peak the value was 0.589 without it and 0.592 with it.
 pub const REPREFILL_PENALTY: Duration = Duration::from_millis(200);
-/// Requests for each slot of a plain service's server up to which it gets more, beside
-/// those that have ended since they were told. With 2 and nothing beside, a hundred VMs
-/// took a busy server for full until they knew better and all sent to the other one: 21
-/// of 100 requests took three times their own time, where now 3 do (test `herd`).
-const PLAIN_TURNS: f64 = 3.0;
-/// Time in which requests that were drawn fade to a third: a VM of hundreds sends a
-/// service two to five requests a second.
-const DRAWN_FADE: Duration = Duration::from_secs(3);
-
-/// Births that are kept at least, those of servers that are gone included: 100 bytes each,
-/// and twice the servers of the largest plan before the gone ones are dropped.
-const MOST_BIRTHS: usize = 24_000;
-
-/// Where this VM stands.
+/// Number of requests per slot of a plain service's server up to which it gets more, in
+/// addition to those that have ended since they were reported. With 2 and no addition,
+/// a hundred VMs treated a busy server as full until the next report and all sent to
+/// the other one: 21 of 100 requests took three times their own time. With these values
+/// 3 do (test `herd`).
+const MAX_REQUESTS_PER_SLOT: f64 = 3.0;
+/// Decay time of the rate of drawn requests. One of hundreds of VMs sends a service two
+/// to five requests per second.
+const DRAWN_DECAY: Duration = Duration::from_secs(3);
+
+/// Minimum number of start times at which those of removed servers are dropped. Each
+/// takes 100 bytes, and the number is twice the servers of the largest plan.
+const START_TIMES_PRUNE_LEN: usize = 24_000;
+
+/// Identity and location of this VM.
 #[derive(Clone, Debug)]
 pub struct VmLocation {
-    /// Its name.
+    /// Name of the VM.
     pub vm: VmName,
-    /// Its data centre.
+    /// Data centre of the VM.
     pub center: CenterName,
-    /// Its region.
+    /// Region of the VM.
     pub region: RegionName,
-    /// The region of every data centre.
+    /// Region of every data centre.
     pub centers: BTreeMap<CenterName, RegionName>,
 }
 
-/// The latest life under a name.
+/// Latest server instance seen under a name.
 #[derive(Clone, Copy, Debug)]
-struct LatestLife {
+struct LatestInstance {
     born: StartTime,
-    /// The latest one that this VM has worked with.
-    worked: Option<ServerId>,
+    /// Id of the latest instance that was in the working set.
+    last_working: Option<ServerId>,
 }
 
-/// The fleet.
+/// Servers and learned costs as seen by this VM.
 #[derive(Clone, Debug)]
 pub struct FleetView {
     place: VmLocation,
     servers: EntityMap<ServerId, ServerState>,
     by_name: HashMap<ServerName, ServerId>,
-    /// The same by the tag of its life, which messages between VMs carry.
+    /// Ids by instance tag, which messages between VMs carry.
     by_tag: HashMap<u32, ServerId>,
-    /// The same by the whole hash, which tells lives apart among tens of thousands.
-    by_life: HashMap<u64, ServerId>,
-    /// Servers that this VM works with.
+    /// Ids by full instance hash, which is unique among tens of thousands of servers.
+    by_instance: HashMap<u64, ServerId>,
+    /// Working servers by service.
     by_service: BTreeMap<ServiceName, Vec<ServerId>>,
     pools: PoolTable,
-    /// Until when the servers of a data centre that was taken back may be cold.
-    chilled: BTreeMap<CenterName, Moment>,
-    /// Unix time of the moment zero, by which births become moments.
+    /// Time until which the servers of a data centre may be cold after an evacuation.
+    cold_until: BTreeMap<CenterName, Moment>,
+    /// Unix time of [`Moment::ZERO`], for converting start times to moments.
     unix_start: Duration,
-    /// The latest life that was seen under each name, also of servers that are gone.
-    latest: HashMap<ServerName, LatestLife>,
-    /// Births from which those of servers that are gone are dropped.
-    most_births: usize,
+    /// Latest instance that was seen under each name, including removed servers.
+    latest: HashMap<ServerName, LatestInstance>,
+    /// Length of `latest` at which the entries of removed servers are dropped.
+    prune_len: usize,
     evacuated: BTreeSet<CenterName>,
     region_vms: Vec<VmName>,
     is_alone: bool,
     switches: DecisionSwitches,
     costs: BTreeMap<ServiceName, ServiceCosts>,
     crashes: CrashTable,
-    /// Costs of a service of which nothing is known.
+    /// Costs of a service without samples.
     prior: ServiceCosts,
-    /// Number of choices so far, for the baseline that takes servers in turn.
-    turn: usize,
-    /// How old other VMs' work is when it is known here.
+    /// Number of round-robin choices so far.
+    round_robin: usize,
+    /// Age of other VMs' work when it is received.
     knowledge_age: Duration,
-    /// Requests of each service whose server was chosen by its load.
-    drawn: BTreeMap<ServiceName, FlowMeter>,
+    /// Rate of the requests whose server was chosen by load, by service.
+    drawn_rates: BTreeMap<ServiceName, FlowMeter>,
     rates: RateTable,
-    /// Delay that is accepted for 1,000 tokens of a shared part that need not be read
-    /// again.
+    /// Delay per 1,000 tokens of a shared part that is accepted to avoid prefilling
+    /// them again.
     reprefill_penalty: Duration,
-    /// Which versions of services may have requests, where two have servers.
+    /// Rules on the versions that may get requests, for services with servers of two
+    /// versions.
     pub(crate) version_rules: BTreeMap<ServiceName, VersionRule>,
 }
 
 impl FleetView {
-    /// A view that knows no server.
+    /// Creates a view without servers.
     pub fn new(place: VmLocation) -> Self {
         Self {
             place,
             servers: EntityMap::new(),
             by_name: HashMap::new(),
             by_tag: HashMap::new(),
-            by_life: HashMap::new(),
+            by_instance: HashMap::new(),
             by_service: BTreeMap::new(),
             pools: PoolTable::default(),
-            chilled: BTreeMap::new(),
+            cold_until: BTreeMap::new(),
             unix_start: Duration::ZERO,
             latest: HashMap::new(),
-            most_births: MOST_BIRTHS,
+            prune_len: START_TIMES_PRUNE_LEN,
             evacuated: BTreeSet::new(),
             region_vms: Vec::new(),
             is_alone: false,
@@ -133,32 +136,32 @@
             costs: BTreeMap::new(),
             crashes: CrashTable::new(),
             prior: ServiceCosts::default(),
-            turn: 0,
+            round_robin: 0,
             knowledge_age: Duration::ZERO,
-            drawn: BTreeMap::new(),
+            drawn_rates: BTreeMap::new(),
             rates: RateTable::new(),
             reprefill_penalty: REPREFILL_PENALTY,
             version_rules: BTreeMap::new(),
         }
     }
 
-    /// Sets the Unix time of the moment zero.
+    /// Sets the Unix time of [`Moment::ZERO`].
     pub fn set_unix_start(&mut self, start: Duration) {
         self.unix_start = start;
     }
 
-    /// The moment of a birth by this VM's clock; zero for those before it.
+    /// Converts a start time to a moment of this VM's clock; zero if it is earlier.
     pub(crate) fn moment_of(&self, born: StartTime) -> Moment {
         let born = Duration::from_millis(born.millis());
         Moment::from_duration(born.saturating_sub(self.unix_start))
     }
 
-    /// Where this VM stands.
+    /// Identity and location of this VM.
     pub fn place(&self) -> &VmLocation {
         &self.place
     }
 
-    /// The VMs of this region, this one included or not.
+    /// VMs of this region; may include this one.
     pub fn region_vms(&self) -> &[VmName] {
         &self.region_vms
     }
@@ -178,26 +181,30 @@
         self.is_alone
     }
 
-    /// Sets how old other VMs' work is when it is known here.
+    /// Sets the age of other VMs' work when it is received.
     pub fn set_knowledge_age(&mut self, age: Duration) {
         self.knowledge_age = age;
     }
 
-    /// Notes that the server of a request is chosen by its load.
-    pub(crate) fn note_drawn(&mut self, now: Moment, service: &ServiceName) {
-        let meter = self.drawn.entry(service.clone());
-        meter.or_insert(FlowMeter::new(DRAWN_FADE)).note(now, 1);
+    /// Records that the server of a request is chosen by its load.
+    pub(crate) fn record_drawn(&mut self, now: Moment, service: &ServiceName) {
+        let meter = self.drawn_rates.entry(service.clone());
+        meter.or_insert(FlowMeter::new(DRAWN_DECAY)).note(now, 1);
     }
 
-    /// Requests of a service that the other VMs of the region are expected to send
-    /// until this VM knows of them: each as many as this one.
-    pub(crate) fn unknown_requests(&self, now: Moment, service: &ServiceName) -> f64 {
-        let rate = self.drawn.get(service).map_or(0.0, |m| m.per_second(now));
+    /// Number of requests of a service that the other VMs of the region are expected to
+    /// send before this VM receives their reports, assuming that each sends as many as
+    /// this one.
+    pub(crate) fn unreported_requests(&self, now: Moment, service: &ServiceName) -> f64 {
+        let rate = self
+            .drawn_rates
+            .get(service)
+            .map_or(0.0, |m| m.per_second(now));
         rate * self.region_vms.len() as f64 * self.knowledge_age.as_secs_f64()
     }
 
-    /// Sets the delay that is accepted for 1,000 tokens of a shared part that need not
-    /// be read again.
+    /// Sets the delay per 1,000 tokens of a shared part that is accepted to avoid
+    /// prefilling them again.
     pub fn set_reprefill_penalty(&mut self, delay: Duration) {
         self.reprefill_penalty = delay;
     }
@@ -206,47 +213,47 @@
         self.reprefill_penalty
     }
 
-    /// Which mechanisms are on.
+    /// Enabled mechanisms and choice policy.
     pub fn switches(&self) -> &DecisionSwitches {
         &self.switches
     }
 
-    /// Turns mechanisms on and off.
+    /// Sets the enabled mechanisms and the choice policy.
     pub fn set_switches(&mut self, switches: DecisionSwitches) {
         self.switches = switches;
     }
 
-    /// What is known of the costs of a service.
+    /// Learned costs of a service.
     pub(crate) fn costs(&self, service: &ServiceName) -> &ServiceCosts {
         self.costs.get(service).unwrap_or(&self.prior)
     }
 
-    /// What is known of the costs of a service, to correct it.
+    /// Learned costs of a service, for modification.
     pub(crate) fn costs_mut(&mut self, service: &ServiceName) -> &mut ServiceCosts {
         self.costs.entry(service.clone()).or_default()
     }
 
-    /// What is known of the costs of every service.
+    /// Learned costs of all services.
     pub(crate) fn all_costs(&self) -> impl Iterator<Item = (&ServiceName, &ServiceCosts)> {
         self.costs.iter()
     }
 
-    /// Crashes seen lately.
+    /// Recent crashes by service.
     pub(crate) fn crashes(&self) -> &CrashTable {
         &self.crashes
     }
 
-    /// Crashes seen lately, to note one.
+    /// Recent crashes by service, for modification.
     pub(crate) fn crashes_mut(&mut self) -> &mut CrashTable {
         &mut self.crashes
     }
 
-    /// Rates of services.
+    /// Request rates by service.
     pub(crate) fn rates(&self) -> &RateTable {
         &self.rates
     }
 
-    /// Rates of services, to change them.
+    /// Request rates by service, for modification.
     pub(crate) fn rates_mut(&mut self) -> &mut RateTable {
         &mut self.rates
     }
@@ -256,10 +263,10 @@
         &self.pools
     }
 
-    /// A number that grows with each choice.
-    pub(crate) fn next_turn(&mut self) -> usize {
-        self.turn = self.turn.wrapping_add(1);
-        self.turn
+    /// Returns the next number of the round-robin counter.
+    pub(crate) fn next_round_robin(&mut self) -> usize {
+        self.round_robin = self.round_robin.wrapping_add(1);
+        self.round_robin
     }
 
     /// State of a server.
@@ -267,38 +274,38 @@
         &self.servers[id]
     }
 
-    /// State of a server, to change it.
+    /// State of a server, for modification.
     pub fn server_mut(&mut self, id: ServerId) -> &mut ServerState {
         &mut self.servers[id]
     }
 
-    /// A server by the name of its life.
+    /// Finds a working server by name.
     pub fn find(&self, name: &str) -> Option<ServerId> {
         self.by_name.get(name).copied()
     }
 
-    /// A server that is not gone by the tag of its life.
+    /// Finds a live server by the tag of its instance.
     pub fn find_tag(&self, tag: u32) -> Option<ServerId> {
         self.by_tag.get(&tag).copied()
     }
 
-    /// A server that is not gone by the hash of its life.
+    /// Finds a live server by the hash of its instance.
     pub fn find_instance(&self, hash: u64) -> Option<ServerId> {
-        self.by_life.get(&hash).copied()
+        self.by_instance.get(&hash).copied()
     }
 
-    /// Whether a region has servers of a service that take work.
+    /// Whether a region has servers of a service that accept requests.
     pub fn has_servers_in(&self, service: &ServiceName, region: &RegionName) -> bool {
         let mut servers = self.servers_of(service).iter();
         servers.any(|id| self.server(*id).region == *region && self.takes_work(*id))
     }
 
-    /// The servers of a service that are not gone.
+    /// Live working servers of a service.
     pub fn servers_of(&self, service: &ServiceName) -> &[ServerId] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Every server that is not gone.
+    /// All live working servers.
     pub fn live(&self) -> impl Iterator<Item = (ServerId, &ServerState)> {
         self.by_service
             .values()
@@ -306,37 +313,37 @@
             .map(|id| (*id, &self.servers[*id]))
     }
 
-    /// Whether servers of a data centre must get nothing.
+    /// Whether a data centre is evacuated, so that its servers must not get requests.
     pub fn is_evacuated(&self, center: &CenterName) -> bool {
         self.evacuated.contains(center)
     }
 
-    /// Whether a server's entry, data centre and version let it have new work.
+    /// Whether a server's entry, data centre and version allow new requests.
     pub(crate) fn takes_work(&self, id: ServerId) -> bool {
         self.may_work(id) && self.is_usual_version(id)
     }
 
-    /// Whether a server's entry and data centre let it have new work.
+    /// Whether a server's entry and data centre allow new requests.
     pub(crate) fn may_work(&self, id: ServerId) -> bool {
         let server = self.server(id);
         server.takes_work() && !self.is_evacuated(&server.record.center)
     }
 
-    /// The servers of a service in this region that may have new work.
-    pub(crate) fn near_servers(&self, service: &ServiceName) -> impl Iterator<Item = ServerId> {
+    /// Servers of a service in this region that may get new requests.
+    pub(crate) fn region_servers(&self, service: &ServiceName) -> impl Iterator<Item = ServerId> {
         self.servers_of(service)
             .iter()
             .copied()
             .filter(|id| self.server(*id).region == self.place.region && self.takes_work(*id))
     }
 
-    /// The servers of this region that a request could be sent to at once.
+    /// Servers of this region that a request could be sent to immediately.
     pub fn free_servers(
         &self,
         now: Moment,
         needs: &CallRequirements,
     ) -> impl Iterator<Item = ServerId> {
-        self.near_servers(&needs.service).filter(move |id| {
+        self.region_servers(&needs.service).filter(move |id| {
             let server = self.server(*id);
             self.is_trusted(now, *id)
                 && !server.is_cold(now)
@@ -345,14 +352,14 @@
         })
     }
 
-    /// Whether a server may be sent an attempt: neither this VM's breaker, nor a rest that
-    /// the server wants, nor the votes of all VMs speak against it.
+    /// Whether a server may be sent an attempt, according to this VM's circuit breaker,
+    /// the server's requested backoff and the votes of all VMs.
     pub(crate) fn is_trusted(&self, now: Moment, id: ServerId) -> bool {
         let server = self.server(id);
         server.is_trusted(now) && !self.is_silent(now, id)
     }
 
-    /// Whether a server is taken for silent by the votes of all VMs, or has started again
+    /// Whether a server is unresponsive by the votes of all VMs, or has restarted
     /// since.
     pub fn is_silent(&self, now: Moment, id: ServerId) -> bool {
         let server = self.server(id);
@@ -360,16 +367,17 @@
         server.is_replaced() || (votes && server.votes(now).is_silent())
     }
 
-    /// Whether another request fits a server. Of other VMs' requests to a plain service
-    /// some have ended since they were told.
+    /// Whether a server has capacity for another request. Some of the other VMs'
+    /// requests to a plain service have ended since they were reported.
     pub(crate) fn has_room(&self, id: ServerId, needs: &CallRequirements) -> bool {
-        let one = self.costs(&needs.service).plain_ms() / 1e3;
-        let ended = self.knowledge_age.as_secs_f64() / one.max(f64::MIN_POSITIVE);
-        self.server(id).has_room(needs, PLAIN_TURNS + ended)
+        let request_time = self.costs(&needs.service).plain_ms() / 1e3;
+        let ended_per_slot = self.knowledge_age.as_secs_f64() / request_time.max(f64::MIN_POSITIVE);
+        self.server(id)
+            .has_room(needs, MAX_REQUESTS_PER_SLOT + ended_per_slot)
     }
 
-    /// Takes a server's entry. One of an earlier life changes nothing, whatever way it
-    /// came; one of a later life ends the life before.
+    /// Applies a server's store entry. An entry of an earlier instance is ignored,
+    /// whatever its source; one of a later instance ends the earlier one.
     pub fn put_server(&mut self, now: Moment, record: ServerRecord, table: Option<&RouteTable>) {
         let Some(region) = self.place.centers.get(&record.center).cloned() else {
             self.remove_server(now, record.name.as_str());
@@ -379,7 +387,7 @@
         if latest.is_some_and(|latest| latest.born > record.born) {
             return;
         }
-        if self.update_server(now, &record, &region) {
+        if self.update_known_server(now, &record, &region) {
             return;
         }
         let key = PoolKey {
@@ -392,52 +400,63 @@
         if let Some(service) = service {
             self.pools.get_mut(pool).cold_rate = service.cold_rate;
         }
-        self.note_latest(&record);
-        let record = self.with_shared_names(record, pool);
-        let place = self.pools.add(pool, DormantServer { record, seen: now });
-        self.settle_at(pool, &place);
+        self.record_latest(&record);
+        let record = self.with_interned_names(record, pool);
+        let position = self.pools.add(
+            pool,
+            DormantServer {
+                record,
+                received_at: now,
+            },
+        );
+        self.update_working_at(pool, &position);
     }
 
-    /// Takes a newer entry of a server that is known; false if it is of another life, or
-    /// of a server that is not known.
-    fn update_server(&mut self, now: Moment, record: &ServerRecord, region: &RegionName) -> bool {
+    /// Applies a newer entry of a known server. Returns false if the server is unknown
+    /// or the entry is of another instance.
+    fn update_known_server(
+        &mut self,
+        now: Moment,
+        record: &ServerRecord,
+        region: &RegionName,
+    ) -> bool {
         let Some(pool) = self.pools.pool_of(record.name.as_str()) else {
             return false;
         };
         let key = &self.pools.get(pool).key;
         let is_same_pool =
             key.service == record.service && key.region == *region && key.version == record.version;
-        let record = self.with_shared_names(record.clone(), pool);
-        let worked = self.find(record.name.as_str());
+        let record = self.with_interned_names(record.clone(), pool);
+        let last_working = self.find(record.name.as_str());
         let servers = &mut self.servers;
-        let held = match self.pools.entry_mut(&record.name) {
+        let current = match self.pools.entry_mut(&record.name) {
             Some(PoolServer::Working(id)) => &mut servers[*id].record,
             Some(PoolServer::Dormant(dormant)) => &mut dormant.record,
             None => return false,
         };
-        if held.born != record.born || !is_same_pool {
+        if current.born != record.born || !is_same_pool {
             self.remove_server(now, record.name.as_str());
-            if let Some(id) = worked {
+            if let Some(id) = last_working {
                 self.servers[id].replace();
             }
             return false;
         }
-        let record = record.leaving_as(held.phase);
-        let is_other_phase = held.phase != record.phase;
-        if let Some(id) = worked {
+        let record = record.with_phase_after(current.phase);
+        let is_other_phase = current.phase != record.phase;
+        if let Some(id) = last_working {
             self.servers[id].update(now, record);
         } else if let Some(PoolServer::Dormant(dormant)) = self.pools.entry_mut(&record.name) {
             dormant.update(now, record);
         }
         if is_other_phase {
-            self.settle(pool);
+            self.update_working(pool);
         }
         true
     }
 
-    /// An entry whose service and data centre are the names that the others have, so that
-    /// ten thousand entries do not hold as many copies of them.
-    fn with_shared_names(&self, record: ServerRecord, pool: PoolId) -> ServerRecord {
+    /// Replaces the service, version and data centre of an entry by shared copies of
+    /// the names, so that ten thousand entries do not hold as many copies of them.
+    fn with_interned_names(&self, record: ServerRecord, pool: PoolId) -> ServerRecord {
         let key = &self.pools.get(pool).key;
         let center = self.place.centers.get_key_value(&record.center);
         ServerRecord {
@@ -456,82 +475,89 @@
         }
     }
 
-    /// Begins to work with a server.
-    fn wake(&mut self, pool: PoolId, place: &PoolPosition) {
-        let held = self.pools.get_mut(pool).servers.get_mut(place);
-        let Some(PoolServer::Dormant(dormant)) = held else {
+    /// Moves a server into the working set.
+    fn activate(&mut self, pool: PoolId, position: &PoolPosition) {
+        let current = self.pools.get_mut(pool).servers.get_mut(position);
+        let Some(PoolServer::Dormant(dormant)) = current else {
             return;
         };
-        let DormantServer { record, seen } = (**dormant).clone();
+        let DormantServer {
+            record,
+            received_at,
+        } = (**dormant).clone();
         let region = self.pools.get(pool).key.region.clone();
         let cold_rate = self.pools.get(pool).cold_rate;
         let (name, born) = (record.name.clone(), record.born);
-        let chilled = self.chilled.get(&record.center).copied();
-        let mut state = ServerState::new(seen, record, region, cold_rate);
-        if let Some(until) = chilled {
-            state.chill(seen, until - seen);
+        let cold_until = self.cold_until.get(&record.center).copied();
+        let mut state = ServerState::new(received_at, record, region, cold_rate);
+        if let Some(until) = cold_until {
+            state.mark_cold(received_at, until - received_at);
         }
-        let worked = self.latest.get(&name).and_then(|latest| latest.worked);
-        match worked {
-            Some(former) if self.servers[former].record.born == born => {
-                state.inherit_signals(&self.servers[former]);
+        let last_working = self
+            .latest
+            .get(&name)
+            .and_then(|latest| latest.last_working);
+        match last_working {
+            Some(prior) if self.servers[prior].record.born == born => {
+                state.inherit_signals(&self.servers[prior]);
             }
-            Some(former) => state.apply_ambiguous(seen, &self.ambiguous_signals(former, born)),
+            Some(prior) => state.apply_ambiguous(received_at, &self.ambiguous_signals(prior, born)),
             None => {}
         }
         let id = self.servers.push(state);
         let servers = &mut self.pools.get_mut(pool).servers;
-        servers.insert(place.clone(), PoolServer::Working(id));
+        servers.insert(position.clone(), PoolServer::Working(id));
         if let Some(latest) = self.latest.get_mut(&name) {
-            latest.worked = Some(id);
+            latest.last_working = Some(id);
         }
         self.by_tag.insert(self.servers[id].tag(), id);
-        self.by_life.insert(self.servers[id].instance_hash(), id);
+        self.by_instance
+            .insert(self.servers[id].instance_hash(), id);
         self.by_name.insert(name, id);
     }
 
-    /// Works out with which servers of a pool this VM works, after a change at a place.
-    fn settle_at(&mut self, pool: PoolId, place: &PoolPosition) {
-        if self.pools.get(pool).is_within(place) {
-            self.settle(pool);
+    /// Updates the working set of a pool after a change at a position.
+    fn update_working_at(&mut self, pool: PoolId, position: &PoolPosition) {
+        if self.pools.get(pool).is_in_working_range(position) {
+            self.update_working(pool);
         }
     }
 
-    /// Works out with which servers of a pool this VM works.
-    fn settle(&mut self, pool: PoolId) {
+    /// Updates the working set of a pool.
+    fn update_working(&mut self, pool: PoolId) {
         let mut ready = 0;
         let mut last = None;
-        let mut woken = Vec::new();
-        let held = self.pools.get(pool);
-        for (place, server) in &held.servers {
-            if ready >= held.working {
+        let mut activated = Vec::new();
+        let current = self.pools.get(pool);
+        for (position, server) in &current.servers {
+            if ready >= current.working {
                 break;
             }
             let takes_work = match server {
                 PoolServer::Working(id) => self.may_work(*id),
                 PoolServer::Dormant(dormant) => {
-                    woken.push(place.clone());
+                    activated.push(position.clone());
                     dormant.takes_work() && !self.is_evacuated(&dormant.record.center)
                 }
             };
             ready += usize::from(takes_work);
-            last = Some(place.clone());
+            last = Some(position.clone());
         }
-        let is_all = ready < held.working;
+        let is_all = ready < current.working;
         self.pools.get_mut(pool).last = last.filter(|_| !is_all);
-        for place in &woken {
-            self.wake(pool, place);
+        for position in &activated {
+            self.activate(pool, position);
         }
         let service = self.pools.get(pool).key.service.clone();
-        self.list_working(&service);
+        self.update_service_list(&service);
     }
 
-    /// Lists the servers of a service that this VM works with.
-    fn list_working(&mut self, service: &ServiceName) {
+    /// Rebuilds the list of working servers of a service.
+    fn update_service_list(&mut self, service: &ServiceName) {
         let mut listed = Vec::new();
         for pool in self.pools.of_service(service) {
-            for (place, server) in &pool.servers {
-                if !pool.is_within(place) {
+            for (position, server) in &pool.servers {
+                if !pool.is_in_working_range(position) {
                     break;
                 }
                 if let PoolServer::Working(id) = server {
@@ -542,15 +568,18 @@
         self.by_service.insert(service.clone(), listed);
     }
 
-    /// Works with more servers where those that are worked with are busy, and with fewer
-    /// where they have next to nothing to do.
+    /// Enlarges the working set of pools whose servers are busy, and shrinks it where
+    /// they are mostly idle.
     pub fn resize_pools(&mut self) {
         for pool in self.pools.ids() {
-            let held = self.pools.get(pool);
-            if held.key.region != self.place.region || held.servers.len() <= LEAST_WORKING {
+            let current = self.pools.get(pool);
+            if current.key.region != self.place.region || current.servers.len() <= MIN_WORKING {
                 continue;
             }
-            let working = held.servers.iter().take_while(|(p, _)| held.is_within(p));
+            let working = current
+                .servers
+                .iter()
+                .take_while(|(p, _)| current.is_in_working_range(p));
             let (mut requests, mut slots) = (0.0, 0.0);
             for (_, server) in working {
                 if let PoolServer::Working(id) = server {
@@ -559,86 +588,89 @@
                 }
             }
             if slots > 0.0 && self.pools.get_mut(pool).resize(requests / slots) {
-                self.settle(pool);
+                self.update_working(pool);
             }
         }
     }
 
-    /// The id under which the life of a server is known now: another one where its entry
-    /// had lapsed since.
+    /// Current id of a server instance. It differs from `id` if the instance's entry
+    /// had expired and was written again.
     pub(crate) fn same_instance(&self, id: ServerId) -> ServerId {
         let record = &self.server(id).record;
         let latest = self.latest.get(&record.name);
-        let worked = latest.and_then(|latest| latest.worked);
-        worked
-            .filter(|worked| self.server(*worked).record.born == record.born)
+        let last_working = latest.and_then(|latest| latest.last_working);
+        last_working
+            .filter(|last_working| self.server(*last_working).record.born == record.born)
             .unwrap_or(id)
     }
 
-    fn note_latest(&mut self, record: &ServerRecord) {
-        if self.latest.len() >= self.most_births {
+    fn record_latest(&mut self, record: &ServerRecord) {
+        if self.latest.len() >= self.prune_len {
             let pools = &self.pools;
             self.latest.retain(|name, _| pools.has(name.as_str()));
-            // Where more servers live than that, a look for each new one would be a look
-            // at all.
-            self.most_births = MOST_BIRTHS.max(self.latest.len() * 2);
+            // If more servers than that are live, pruning for each new one would take
+            // quadratic time.
+            self.prune_len = START_TIMES_PRUNE_LEN.max(self.latest.len() * 2);
         }
         let latest = self.latest.entry(record.name.clone());
         let born = record.born;
-        let latest = latest.or_insert(LatestLife { born, worked: None });
+        let latest = latest.or_insert(LatestInstance {
+            born,
+            last_working: None,
+        });
         latest.born = born;
     }
 
-    /// Notes that a server's entry is gone, or that another life answered. One that did
-    /// not say that it leaves has crashed, as far as anybody can tell.
+    /// Records that a server's entry was removed, or that another instance responded.
+    /// An instance that was not draining counts as crashed.
     pub fn remove_server(&mut self, now: Moment, name: &str) {
-        let Some((pool, place, server)) = self.pools.remove(name) else {
+        let Some((pool, position, server)) = self.pools.remove(name) else {
             return;
         };
         if let PoolServer::Working(id) = server {
             self.by_name.remove(name);
             self.by_tag.remove(&self.servers[id].tag());
-            self.by_life.remove(&self.servers[id].instance_hash());
+            self.by_instance.remove(&self.servers[id].instance_hash());
             if self.servers[id].takes_work() {
                 self.note_crash(now, id);
             }
-            self.servers[id].end_life(now);
+            self.servers[id].end_instance(now);
         }
-        self.settle_at(pool, &place);
+        self.update_working_at(pool, &position);
     }
 
-    fn settle_all(&mut self) {
+    fn update_all_pools(&mut self) {
         for pool in self.pools.ids() {
-            self.settle(pool);
+            self.update_working(pool);
         }
     }
 
-    /// Notes that a data centre is being evacuated.
+    /// Records that a data centre is being evacuated.
     pub fn evacuate(&mut self, center: CenterName) {
         self.evacuated.insert(center);
-        self.settle_all();
+        self.update_all_pools();
     }
 
-    /// Notes that a data centre is taken back; its servers may be cold.
+    /// Records that the evacuation of a data centre has ended; its servers may be cold.
     pub fn end_evacuation(&mut self, now: Moment, center: &CenterName, table: Option<&RouteTable>) {
         if !self.evacuated.remove(center) {
             return;
         }
-        let cold_for = |service: &ServiceName| {
+        let cold_duration = |service: &ServiceName| {
             let service = table.and_then(|table| table.service(service));
             service.map_or(Duration::ZERO, |service| service.cold_for)
         };
         for id in self.by_service.values().flatten() {
             let server = &mut self.servers[*id];
             if server.record.center == *center {
-                let left = cold_for(&server.record.service);
-                server.chill(now, left);
+                let left = cold_duration(&server.record.service);
+                server.mark_cold(now, left);
             }
         }
         let services = table.into_iter().flat_map(RouteTable::services);
         let longest = services.map(|service| service.cold_for).max();
         let until = now + longest.unwrap_or_default();
-        self.chilled.insert(center.clone(), until);
-        self.settle_all();
+        self.cold_until.insert(center.clone(), until);
+        self.update_all_pools();
     }
 }
--- a/crates/fleet/src/work.rs
+++ b/crates/fleet/src/work.rs
@@ -1,12 +1,12 @@
-//! What VMs have under way at a server, as they tell each other.
+//! Work that VMs have in progress at a server, as VMs exchange it.
 
 use crate::limit::LimitReports;
-use crate::signs::ServerVotes;
+use crate::liveness::ServerVotes;
 
-/// Urgencies that a request can have; 0 goes first.
+/// Number of urgency levels of requests; level 0 goes first.
 pub const URGENCIES: usize = 10;
 
-/// Prompt tokens not yet known to be read, by the urgency of their requests.
+/// Prompt tokens that are not known to be prefilled yet, by the urgency of their requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PrefillTokens([u64; URGENCIES]);
 
@@ -15,39 +15,39 @@
     ///
     /// ```
     /// use onyxfall_fleet::PrefillTokens;
-    /// let unread = PrefillTokens::of(3, 500);
-    /// assert_eq!(unread.up_to(2), 0);
-    /// assert_eq!(unread.up_to(3), 500);
+    /// let pending = PrefillTokens::of(3, 500);
+    /// assert_eq!(pending.up_to(2), 0);
+    /// assert_eq!(pending.up_to(3), 500);
     /// ```
     pub fn of(urgency: u8, tokens: u64) -> Self {
-        let mut unread = Self::default();
-        unread.0[slot(urgency)] = tokens;
-        unread
+        let mut pending = Self::default();
+        pending.0[level(urgency)] = tokens;
+        pending
     }
 
-    /// Tokens as another VM has told them, by urgency from 0 on.
+    /// Tokens as another VM has reported them, by urgency from 0 on.
     pub fn from_slice(tokens: &[u64]) -> Self {
-        let mut unread = Self::default();
-        for (own, told) in unread.0.iter_mut().zip(tokens) {
-            *own = *told;
+        let mut pending = Self::default();
+        for (own, reported) in pending.0.iter_mut().zip(tokens) {
+            *own = *reported;
         }
-        unread
+        pending
     }
 
-    /// Tokens by urgency, without the zeros at the end.
+    /// Tokens by urgency, without trailing zeros.
     pub fn as_slice(&self) -> &[u64] {
         let used = self.0.iter().rposition(|tokens| *tokens > 0);
         &self.0[..used.map_or(0, |last| last + 1)]
     }
 
-    /// All tokens.
+    /// Tokens of all urgencies.
     pub fn total(&self) -> u64 {
         self.up_to(u8::MAX)
     }
 
     /// Tokens of requests at least as urgent as `urgency`.
     pub fn up_to(&self, urgency: u8) -> u64 {
-        let tokens = self.0[..=slot(urgency)].iter();
+        let tokens = self.0[..=level(urgency)].iter();
         tokens.fold(0, |sum, tokens| sum.saturating_add(*tokens))
     }
 
@@ -56,30 +56,31 @@
     }
 }
 
-fn slot(urgency: u8) -> usize {
+/// Index of an urgency.
+fn level(urgency: u8) -> usize {
     usize::from(urgency).min(URGENCIES - 1)
 }
 
-/// Work of one VM at one server.
+/// Work of one or several VMs at one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkShare {
-    /// Requests under way.
+    /// Requests in progress.
     pub requests: u32,
-    /// Prompt tokens not yet known to be read.
+    /// Prompt tokens that are not known to be prefilled yet.
     pub unread: PrefillTokens,
-    /// Memory that the requests will hold, in tokens.
+    /// Memory that the requests will occupy, in tokens.
     pub memory: u64,
-    /// Tokens a second that flow into the server's memory.
+    /// Tokens a second that are added to the server's memory.
     pub flow: u64,
-    /// Whether it lives, as those VMs see it.
+    /// Liveness votes of the VMs on the server.
     pub votes: ServerVotes,
-    /// Limits that those VMs have read in its answers.
+    /// Rate limits that the VMs have read from responses of the server.
     pub limits: LimitReports,
 }
 
 impl WorkShare {
-    /// This work and another. What other VMs tell may be absurd, so sums do not
-    /// overflow.
+    /// Sum of both shares. Figures of other VMs may be out of any range, so the sums
+    /// saturate.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// This work without another that is part of it.
+    /// This share without `other`, which is part of it.
     #[must_use]
     pub fn without(self, other: Self) -> Self {
         Self {
--- a/crates/fleet/tests/affinity.rs
+++ b/crates/fleet/tests/affinity.rs
@@ -1,4 +1,5 @@
-//! Short shared parts of prompts: kept to their own server as far as that costs little.
+//! Affinity of short shared prompt parts: requests stay with the part's owner while
+//! this costs little, and leave a busy owner.
 
 mod support;
 
@@ -16,12 +17,13 @@
 
 const SERVERS: usize = 50;
 const VMS: usize = 60;
-/// Shared parts, and requests for each.
+/// Number of shared parts, and of requests per part.
 const PARTS: u64 = 500;
-const TURNS: u64 = 6;
+const REQUESTS_PER_PART: u64 = 6;
 const SHARED: u64 = 200;
 
-/// A VM of a region of many that know each other's work as it was 0.15 s ago.
+/// View of one VM of a large region in which VMs know each other's work with a delay of
+/// 0.15 s.
 fn view() -> FleetView {
     let mut view = FleetView::new(place("vm0", &[("c0", "r0")]));
     for server in 0..SERVERS {
@@ -40,9 +42,9 @@
     view
 }
 
-fn needs(own: u64) -> CallRequirements {
+fn needs(seq: u64) -> CallRequirements {
     let part = |id, tokens| PromptPart { id, tokens };
-    let parts = vec![part(own % PARTS + 1, SHARED), part(1_000_000 + own, 1800)];
+    let parts = vec![part(seq % PARTS + 1, SHARED), part(1_000_000 + seq, 1800)];
     CallRequirements {
         service: "svc".parse().unwrap(),
         engine: Some(EngineLimits {
@@ -72,55 +74,55 @@
     }
 }
 
-/// Drawn by level alone, a part's six requests met 5.7 of 50 servers in the mean; kept to
-/// its own, one.
+/// Guards against spreading a short part over many servers: with the level draw alone,
+/// its six requests went to 5.7 of 50 servers on average; with affinity they go to one.
 #[test]
-fn requests_for_a_short_part_meet_one_server_and_servers_are_loaded_evenly() {
+fn requests_with_a_short_shared_part_use_one_server_and_load_is_even() {
     let (mut view, mut rng) = (view(), StdRng::seed_from_u64(7));
     let mut servers: BTreeMap<u64, BTreeSet<ServerId>> = BTreeMap::new();
     let mut loads: BTreeMap<ServerId, u64> = BTreeMap::new();
-    for number in 0..PARTS * TURNS {
+    for number in 0..PARTS * REQUESTS_PER_PART {
         let needs = needs(number);
-        // Fifteen a second, as a VM of 60 has of 900.
+        // 15 requests per second, the share of one of 60 VMs at 900 per second.
         let server = choose(&mut view, number * 66, &needs, &mut rng);
         servers.entry(number % PARTS).or_default().insert(server);
         *loads.entry(server).or_default() += 1;
     }
-    let met: usize = servers.values().map(BTreeSet::len).sum();
-    let mean = met as f64 / PARTS as f64;
-    assert!(mean < 1.1, "a part met {mean} servers in the mean");
+    let used: usize = servers.values().map(BTreeSet::len).sum();
+    let mean = used as f64 / PARTS as f64;
+    assert!(mean < 1.1, "a part used {mean} servers on average");
     let most = loads.values().max().unwrap();
-    let usual = PARTS * TURNS / SERVERS as u64;
+    let expected = PARTS * REQUESTS_PER_PART / SERVERS as u64;
     assert!(
-        *most <= usual * 2,
-        "{most} requests where {usual} are usual"
+        *most <= expected * 2,
+        "{most} requests where {expected} are expected"
     );
 }
 
 struct BusyCase {
     name: &'static str,
-    /// Unread tokens of other VMs at the part's own server.
+    /// Tokens pending prefill that other VMs report for the part's owner.
     unread: u64,
-    is_kept: bool,
+    is_owner_used: bool,
 }
 
 #[test]
-fn a_busy_owner_is_left() {
+fn a_busy_owner_is_not_used() {
     let cases = [
         BusyCase {
             name: "idle",
             unread: 0,
-            is_kept: true,
+            is_owner_used: true,
         },
         BusyCase {
-            name: "a little busier than the others",
+            name: "slightly busier than the others",
             unread: 1500,
-            is_kept: true,
+            is_owner_used: true,
         },
         BusyCase {
-            name: "busier than reading anew costs",
+            name: "busier than a repeated prefill costs",
             unread: 60_000,
-            is_kept: false,
+            is_owner_used: false,
         },
     ];
     for case in cases {
@@ -135,6 +137,6 @@
         };
         view.server_mut(owner).set_others(at(10), work);
         let next = choose(&mut view, 20, &needs, &mut rng);
-        assert_eq!(next == owner, case.is_kept, "{}", case.name);
+        assert_eq!(next == owner, case.is_owner_used, "{}", case.name);
     }
 }
--- a/crates/fleet/tests/backup.rs
+++ b/crates/fleet/tests/backup.rs
@@ -1,4 +1,4 @@
-//! Which runs get a copy, and where.
+//! Choice of the runs that are copied, and of the server that gets the copy.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use onyxfall_types::ServerId;
 use support::{at, place, ready_server};
 
-/// A region of two data centres with three servers in each, and another region.
+/// View of a region of two data centres with three servers each, and another region.
 fn view() -> FleetView {
     let mut view = FleetView::new(place("vm0", &[("c0", "r0"), ("c1", "r0"), ("c2", "r1")]));
     for (number, center) in ["c0", "c0", "c0", "c1", "c1", "c1", "c2"]
@@ -60,18 +60,18 @@
 
 struct BackupCase {
     name: &'static str,
-    /// Servers that crashed, and when; the decision is at 10 s.
+    /// Servers that crashed, with the time in ms; the decision is at 10 s.
     crashed: &'static [(&'static str, u64)],
     input: u64,
     keeps_backups: bool,
-    /// Costs of a GB in requests.
+    /// Cost of copying one GB, in requests.
     copied_gb: f64,
     off: &'static [DecisionSwitch],
     is_copied: bool,
 }
 
-const USUAL: BackupCase = BackupCase {
-    name: "a crash a moment ago, a short run",
+const BASE: BackupCase = BackupCase {
+    name: "a recent crash, a short run",
     crashed: &[("s5", 9_000), ("s4", 9_000)],
     input: 900,
     keeps_backups: true,
@@ -81,45 +81,45 @@
 };
 
 #[test]
-fn runs_are_copied_when_that_pays() {
+fn runs_are_copied_if_the_risk_exceeds_the_cost() {
     let cases = [
-        USUAL,
+        BASE,
         BackupCase {
             name: "no crash",
             crashed: &[],
             is_copied: false,
-            ..USUAL
+            ..BASE
         },
         BackupCase {
-            name: "one life that broke off many answers crashed once",
+            name: "one instance that broke many connections counts as one crash",
             crashed: &[("s5", 0), ("s5", 9_000)],
             input: 2_000,
             is_copied: false,
-            ..USUAL
+            ..BASE
         },
         BackupCase {
-            name: "a large run costs more than it risks",
+            name: "copying a large run costs more than the expected loss",
             input: 20_000,
             is_copied: false,
-            ..USUAL
+            ..BASE
         },
         BackupCase {
-            name: "copies are dear",
+            name: "copies are expensive",
             copied_gb: 100.0,
             is_copied: false,
-            ..USUAL
+            ..BASE
         },
         BackupCase {
-            name: "servers do not keep copies",
+            name: "servers do not hold backups",
             keeps_backups: false,
             is_copied: false,
-            ..USUAL
+            ..BASE
         },
         BackupCase {
             name: "turned off",
             off: &[DecisionSwitch::Backups],
             is_copied: false,
-            ..USUAL
+            ..BASE
         },
     ];
     for case in cases {
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_copy_goes_to_the_other_data_centre_and_spreads() {
+fn copies_go_to_the_other_data_centre_and_are_spread() {
     let mut view = view();
     let lost = server(&view, "s5");
     view.remove_server(at(9_000), "s5");
@@ -161,13 +161,13 @@
         let decision = view.choose_backup(at(10_000), source, &needs, &predicted, 1.0);
         decision
             .server
-            .expect("an entry that is gone without a word is a crash")
+            .expect("an entry removed without draining counts as a crash")
     };
     let first = choose(&view);
     assert!(first != lost && view.server(first).record.center.as_str() == "c1");
     view.server_mut(first).hold_copy(1000);
     let second = choose(&view);
-    assert_ne!(second, first, "its memory counts");
+    assert_ne!(second, first, "the memory of the first copy counts");
     assert_eq!(view.server(second).record.center.as_str(), "c1");
     view.server_mut(first).drop_copy(1000);
     assert_eq!(
@@ -189,6 +189,6 @@
     assert_eq!(
         view.server(third).record.center.as_str(),
         "c0",
-        "no room there"
+        "no capacity in the other data centre"
     );
 }
--- a/crates/fleet/tests/balance.rs
+++ b/crates/fleet/tests/balance.rs
@@ -1,4 +1,4 @@
-//! How much of a region's requests leaves it, by rates.
+//! Part of a region's requests that is forwarded, computed from request rates.
 
 mod support;
 
@@ -18,7 +18,7 @@
     "svc".parse().unwrap()
 }
 
-/// A region with two servers that do 400 requests a second together.
+/// View of a region with two servers that serve 400 requests per second together.
 fn view() -> FleetView {
     let mut view = FleetView::new(place("vm0", &[("c0", "r0")]));
     for server in 0..2 {
@@ -45,29 +45,29 @@
     offered: f64,
     relayed: f64,
     off: &'static [DecisionSwitch],
-    /// Part that leaves.
+    /// Expected part of the requests that is forwarded.
     overflow: f64,
 }
 
 #[test]
-fn what_a_region_cannot_serve_well_leaves_it() {
+fn requests_beyond_the_capacity_of_a_region_are_forwarded() {
     let cases = [
         RateCase {
-            name: "little is offered",
+            name: "low load",
             offered: 100.0,
             relayed: 0.0,
             off: &[],
             overflow: 0.0,
         },
         RateCase {
-            name: "twice of what can be done well",
+            name: "twice the load that can be served well",
             offered: 640.0,
             relayed: 0.0,
             off: &[],
             overflow: 0.5,
         },
         RateCase {
-            name: "other regions' requests take their part",
+            name: "requests of other regions use capacity",
             offered: 320.0,
             relayed: 80.0,
             off: &[],
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn spare_capacity_is_shared_and_never_exceeded_by_chance() {
+fn spare_capacity_is_shared_and_not_exceeded_on_average() {
     let mut table = RemoteTable::default();
     let spare_of = [("r1", 100_000), ("r2", 50_000)];
     for (region, spare) in spare_of {
@@ -129,7 +129,7 @@
         let region = option.map(|option| option.region.to_string());
         *drawn.entry(region).or_default() += 1;
     }
-    // 300 requests a second too many: 100 and 50 can be taken, the rest stays.
+    // 300 requests per second in excess: 100 and 50 can be forwarded, the rest stays.
     let part = |region: Option<&str>| f64::from(drawn[&region.map(str::to_owned)]) / 3000.0;
     for (region, expected) in [(Some("r1"), 0.333), (Some("r2"), 0.167), (None, 0.5)] {
         let found = part(region);
--- a/crates/fleet/tests/choice.rs
+++ b/crates/fleet/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Where requests go: routes, servers, regions.
+//! Choice of routes, servers and regions.
 
 mod support;
 
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn only_servers_that_may_run_it_are_chosen() {
+fn only_permitted_and_available_servers_are_chosen() {
     let is_none = |option: &LocalOption| *option == LocalOption::None;
     let cases = [
         OptionCase {
@@ -92,14 +92,14 @@
             expected: is_none,
         },
         OptionCase {
-            name: "this region is no home",
+            name: "a route with other home regions",
             prepare: |view| view.put_server(at(0), record("s", "c0", ServerPhase::Ready), None),
             homes: &["r1"],
             input: 1000,
             expected: is_none,
         },
         OptionCase {
-            name: "a leaving server",
+            name: "a draining server",
             prepare: |view| {
                 let leaving = ServerPhase::Draining { left: None };
                 view.put_server(at(0), record("s", "c0", leaving), None);
@@ -109,7 +109,7 @@
             expected: is_none,
         },
         OptionCase {
-            name: "a server that left after it was ready",
+            name: "a removed server",
             prepare: |view| {
                 view.put_server(at(0), record("s", "c0", ServerPhase::Ready), None);
                 view.remove_server(at(0), "s");
@@ -136,7 +136,7 @@
             expected: |option| *option == LocalOption::Full,
         },
         OptionCase {
-            name: "others have filled its slots",
+            name: "slots filled by other VMs",
             prepare: |view| {
                 view.put_server(at(0), record("s", "c0", ServerPhase::Ready), None);
                 let id = view.find("s").unwrap();
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_shared_prefix_has_one_server_until_it_is_busy() {
+fn a_shared_prefix_uses_one_server_until_it_is_busy() {
     let mut view = view();
     for name in ["s0", "s1", "s2"] {
         view.put_server(at(0), record(name, "c0", ServerPhase::Ready), None);
@@ -181,7 +181,7 @@
     assert_ne!(
         chosen(&mut view, &needs),
         owner,
-        "a busy server keeps the prefix"
+        "the busy owner was chosen again"
     );
 }
 
@@ -199,13 +199,13 @@
 }
 
 #[test]
-fn work_is_booked_and_given_back() {
+fn work_is_added_and_removed() {
     let mut view = view();
     view.put_server(at(0), record("s", "c0", ServerPhase::Ready), None);
     let needs = needs(500, 1000);
     let id = view.find("s").unwrap();
     view.start_attempt(at(0), id, 1, &needs);
-    // What has come lately fades over five seconds.
+    // The token flow decays over five seconds.
     let flow = 1100 / 5;
     assert_eq!(
         view.server(id).own_work(at(0)),
@@ -219,63 +219,63 @@
     );
     view.note_answer(at(5), id, 1);
     let own = view.server(id).own_work(at(5));
-    assert_eq!(own.unread.total(), 0, "the prompt is read");
+    assert_eq!(own.unread.total(), 0, "the prompt is prefilled");
     view.end_attempt(at(9), id, 1, AttemptResult::Succeeded, None);
     let own = view.server(id).own_work(at(600_000));
     assert_eq!(own, WorkShare::default());
 }
 
-struct AwayCase {
+struct RemoteCase {
     name: &'static str,
-    /// Wait and usable servers of the VM in `r1`.
+    /// Wait and usable servers in the report of `r1`.
     load: (u64, u32),
-    heard_ms: u64,
+    age_ms: u64,
     homes: &'static [&'static str],
     excluded: &'static [&'static str],
-    goes: bool,
+    is_option: bool,
 }
 
 #[test]
-fn only_a_region_that_may_and_can_is_named() {
-    let usual = AwayCase {
-        name: "a free region",
+fn only_a_permitted_and_available_region_is_an_option() {
+    let base = RemoteCase {
+        name: "an available region",
         load: (60, 2),
-        heard_ms: 0,
+        age_ms: 0,
         homes: &[],
         excluded: &[],
-        goes: true,
+        is_option: true,
     };
     let cases = [
-        AwayCase {
+        RemoteCase {
             name: "no usable server",
             load: (60, 0),
-            goes: false,
-            ..usual
+            is_option: false,
+            ..base
         },
-        AwayCase {
-            name: "not heard of lately",
-            heard_ms: 9000,
-            goes: false,
-            ..usual
+        RemoteCase {
+            name: "an expired report",
+            age_ms: 9000,
+            is_option: false,
+            ..base
         },
-        AwayCase {
-            name: "no home",
+        RemoteCase {
+            name: "not a home region",
             homes: &["r0"],
-            goes: false,
-            ..usual
+            is_option: false,
+            ..base
         },
-        AwayCase {
-            name: "a home",
+        RemoteCase {
+            name: "a home region",
             homes: &["r1"],
-            ..usual
+            ..base
         },
-        AwayCase {
+        RemoteCase {
             name: "tried before",
             excluded: &["r1"],
-            goes: false,
-            ..usual
+            is_option: false,
+            ..base
         },
-        usual,
+        base,
     ];
     let own = "r0".parse().unwrap();
     let trips = RoundTrips::default();
@@ -307,13 +307,13 @@
             work_with_prefix: Duration::from_millis(5),
             excluded: &excluded,
         };
-        let found = table.best(at(case.heard_ms), &search);
-        assert_eq!(found.is_some(), case.goes, "{}", case.name);
+        let found = table.best(at(case.age_ms), &search);
+        assert_eq!(found.is_some(), case.is_option, "{}", case.name);
     }
 }
 
 #[test]
-fn work_sent_away_counts_as_much_as_it_is() {
+fn forwarded_work_adds_its_full_time() {
     let own = "r0".parse().unwrap();
     let mut table = RemoteTable::default();
     let load = ServiceLoad {
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn work_that_neighbours_send_away_counts_until_the_region_can_know_of_it() {
+fn work_forwarded_by_peers_counts_until_the_region_can_report_it() {
     let own = "r0".parse().unwrap();
     let region: RegionName = "r1".parse().unwrap();
     let (needs, trips) = (needs(500, 1000), RoundTrips::default());
@@ -388,16 +388,16 @@
         excluded: &[],
     };
     let trip = Duration::from_millis(100);
-    // Another VM that sends 20 ms of work each 100 ms tells its rate.
-    let mut neighbour = RemoteTable::default();
-    neighbour.hear(at(0), &region, trip, loads());
+    // Another VM that sends 20 ms of work every 100 ms reports its rate.
+    let mut peer = RemoteTable::default();
+    peer.hear(at(0), &region, trip, loads());
     for turn in 0..100 {
         let now = at(turn * 100);
-        neighbour.hear(now, &region, trip, loads());
-        let option = neighbour.best(now, &search).unwrap();
-        neighbour.note_sent(now, &option, search.service_tag);
+        peer.hear(now, &region, trip, loads());
+        let option = peer.best(now, &search).unwrap();
+        peer.note_sent(now, &option, search.service_tag);
     }
-    let (tag, rate) = neighbour.own_rates(at(9900)).next().unwrap();
+    let (tag, rate) = peer.own_rates(at(9900)).next().unwrap();
     assert!((0.15..0.27).contains(&rate), "{rate}");
     let mut table = RemoteTable::default();
     table.hear(at(10_000), &region, trip, loads());
@@ -405,17 +405,17 @@
     let before = first(&table, 10_000);
     let now = at(10_000);
     assert!(table.set_peer_rate(now, tag, rate));
-    assert!(!table.set_peer_rate(now, tag + 1, rate), "an unknown rate");
-    // 150 ms before the word, and 250 ms after it, over two servers.
+    assert!(!table.set_peer_rate(now, tag + 1, rate), "an unknown tag");
+    // 150 ms before the report, and 250 ms after it, over two servers.
     let added = |table: &RemoteTable, ms| first(table, ms).checked_sub(before).unwrap();
-    for (ms, unknown, surge) in [(10_000, 0.150, 1.0), (10_250, 0.400, 0.85)] {
-        let expected = Duration::from_secs_f64(unknown * rate * surge / 2.0);
+    for (ms, unreported_s, excess_factor) in [(10_000, 0.150, 1.0), (10_250, 0.400, 0.85)] {
+        let expected = Duration::from_secs_f64(unreported_s * rate * excess_factor / 2.0);
         assert!(
             added(&table, ms).abs_diff(expected) < Duration::from_millis(1),
             "{ms}"
         );
     }
-    // What has been sent for long is part of the word.
+    // Work that has been sent for a while is part of the report.
     table.hear(at(20_000), &region, trip, loads());
     assert!(added(&table, 20_000) < Duration::from_millis(1));
 }
@@ -454,7 +454,7 @@
 }
 
 #[test]
-fn the_longest_prefix_takes_a_path() {
+fn the_longest_matching_prefix_selects_the_route() {
     let table = table(vec![rule("/a/", &[]), rule("/a/b/", &[]), rule("/", &[])]);
     let cases = [("/a/b/c", "/a/b/"), ("/a/bc", "/a/"), ("/x", "/")];
     for (path, prefix) in cases {
@@ -465,7 +465,7 @@
 }
 
 #[test]
-fn homes_of_a_host_are_those_of_most_routes() {
+fn homes_of_a_host_are_the_regions_listed_by_most_routes() {
     let rules = vec![
         rule("/a/", &["r0", "r1"]),
         rule("/b/", &["r1"]),
@@ -482,7 +482,7 @@
 }
 
 #[test]
-fn a_split_follows_its_weights_and_repeats_its_choice() {
+fn a_split_follows_its_weights_and_is_deterministic() {
     let mut split = rule("/a/", &[]);
     let target = |service: &str, weight| RouteTarget {
         service: service.parse().unwrap(),
@@ -502,12 +502,12 @@
 }
 
 #[test]
-fn a_short_shared_part_does_not_choose_the_server() {
+fn a_short_shared_part_does_not_determine_the_server() {
     let mut view = view();
     for name in ["s0", "s1", "s2"] {
         view.put_server(at(0), record(name, "c0", ServerPhase::Ready), None);
     }
-    // The prior reads 20 ms for a thousand tokens.
+    // The prior assumes 20 ms for the prefill of a thousand tokens.
     let short = needs(200, 800);
     let owner = chosen(&mut view, &needs(5000, 5600));
     let busy = WorkShare {
@@ -521,7 +521,7 @@
 }
 
 #[test]
-fn an_answer_that_would_end_too_late_goes_where_it_ends_in_time() {
+fn a_request_goes_to_a_server_that_meets_its_deadline() {
     let mut view = view();
     let ids: Vec<ServerId> = ["s0", "s1"]
         .into_iter()
@@ -530,7 +530,7 @@
             view.find(name).unwrap()
         })
         .collect();
-    // Answers of 21 events show that events follow each other after 40 ms.
+    // Responses of 21 events teach an interval of 40 ms between events.
     for id in 0..40 {
         let now = id * 10_000;
         let call = needs(0, 100 + id);
@@ -545,7 +545,7 @@
         );
     }
     let now = at(1_000_000);
-    let reading = WorkShare {
+    let prefilling = WorkShare {
         requests: 3,
         unread: PrefillTokens::of(9, 15_000),
         ..WorkShare::default()
@@ -553,11 +553,14 @@
     let mut long = needs(0, 100);
     long.events = Some(50.0);
     let alone = view.predict(now, ids[0], &long).whole;
-    view.server_mut(ids[0]).set_others(now, reading);
-    let beside = view.predict(now, ids[0], &long).whole;
+    view.server_mut(ids[0]).set_others(now, prefilling);
+    let busy_whole = view.predict(now, ids[0], &long).whole;
     assert!(alone.as_millis().abs_diff(2000) < 250, "{alone:?}");
-    assert!(beside > alone, "{beside:?} beside reading, {alone:?} alone");
-    long.deadline = now + (alone + beside) / 2;
+    assert!(
+        busy_whole > alone,
+        "{busy_whole:?} if busy, {alone:?} alone"
+    );
+    long.deadline = now + (alone + busy_whole) / 2;
     let rng = &mut StdRng::seed_from_u64(1);
     let LocalOption::Free(choice) = view.choose(now, &long, &[], rng) else {
         panic!("no server");
--- a/crates/fleet/tests/draws.rs
+++ b/crates/fleet/tests/draws.rs
@@ -1,5 +1,5 @@
-//! Where the VMs of a large region draw their servers: each keeps to few, whose connections
-//! it can use again, and all together fill all evenly.
+//! Spread of the draws of a large region's VMs: each VM uses few servers, whose
+//! connections it can reuse, and together they use all servers evenly.
 
 mod support;
 
@@ -14,10 +14,10 @@
 
 const SERVERS: usize = 96;
 /// Time between two requests of a VM.
-const PAUSE_MS: u64 = 600;
+const INTERVAL_MS: u64 = 600;
 const REQUESTS: u64 = 40;
-/// Draws of a server in the mean from which evenness is looked at.
-const LEAST_DRAWS: f64 = 10.0;
+/// Mean number of draws per server from which evenness is checked.
+const MIN_MEAN_DRAWS: f64 = 10.0;
 
 fn view(vm: usize, vms: usize) -> FleetView {
     let name = |vm: usize| format!("vm{vm:03}");
@@ -34,12 +34,12 @@
 struct DrawCase {
     name: &'static str,
     vms: usize,
-    /// Servers that a VM draws, at most.
+    /// Maximum number of servers that a VM draws.
     used: usize,
 }
 
 #[test]
-fn a_vm_of_a_large_region_draws_few_servers_and_all_together_all_of_them() {
+fn a_vm_of_a_large_region_draws_few_servers_and_all_vms_draw_evenly() {
     let cases = [
         DrawCase {
             name: "8 VMs",
@@ -64,12 +64,12 @@
             let mut view = view(vm, case.vms);
             let mut used = BTreeSet::new();
             for request in 1..=REQUESTS {
-                let now = at(request * PAUSE_MS);
+                let now = at(request * INTERVAL_MS);
                 let LocalOption::Free(choice) = view.choose(now, &needs(), &[], rng) else {
-                    panic!("{}: nothing is free", case.name);
+                    panic!("{}: no server available", case.name);
                 };
                 used.insert(choice.server);
-                // The rate of the first requests is not known yet.
+                // The rate is not known during the first requests.
                 if request > REQUESTS / 2 {
                     *drawn.entry(choice.server).or_default() += 1;
                 }
@@ -81,11 +81,11 @@
                 used.len()
             );
         }
-        let all: usize = drawn.values().sum();
-        let mean = all as f64 / SERVERS as f64;
+        let total: usize = drawn.values().sum();
+        let mean = total as f64 / SERVERS as f64;
         let most = drawn.values().copied().max().unwrap_or(0) as f64;
-        // Fewer draws say little.
-        if mean >= LEAST_DRAWS {
+        // Fewer draws are not significant.
+        if mean >= MIN_MEAN_DRAWS {
             assert!(most <= 2.5 * mean, "{}: {most} of {mean}", case.name);
         }
     }
--- a/crates/fleet/tests/fleets.rs
+++ b/crates/fleet/tests/fleets.rs
@@ -1,6 +1,7 @@
-//! Several VMs hear of servers that start again under their name, by the store, by each
-//! other and by watches that go on from before: late, twice, out of order or not at all.
-//! None ever uses a former life, and all end with the servers that there are.
+//! Several VMs receive entries of servers that restart under the same name: from the
+//! store, from each other and from resumed watches, late, duplicated, out of order or
+//! not at all. No VM ever uses a former instance, and all converge to the current
+//! servers.
 
 mod support;
 
@@ -18,11 +19,11 @@
 const NAMES: [&str; 3] = ["s1", "s2", "s3"];
 const NOW: Moment = Moment::ZERO;
 
-/// One VM: its copy of the store, and what it makes of it.
+/// One VM: its mirror of the store, and its view of the servers.
 struct TestVm {
     mirror: StoreMirror,
     fleet: FleetView,
-    /// The latest birth that it has seen under each name.
+    /// Latest start time that the VM has seen under each name.
     seen: BTreeMap<String, u64>,
 }
 
@@ -36,7 +37,7 @@
         }
     }
 
-    fn take(&mut self, changes: Vec<MirrorChange>) {
+    fn apply(&mut self, changes: Vec<MirrorChange>) {
         for change in changes {
             match change {
                 MirrorChange::Set(name, value) => {
@@ -50,25 +51,26 @@
         }
     }
 
-    fn hear(&mut self, events: Vec<StoreEvent>) {
+    fn receive(&mut self, events: Vec<StoreEvent>) {
         let changes = self.mirror.apply(NOW, events, StoreHealth::Steady);
-        self.take(changes);
+        self.apply(changes);
     }
 
     fn read_all(&mut self, items: Vec<StoreItem>, revision: u64) {
         let health = StoreHealth::Steady;
         let changes = self.mirror.replace(NOW, "", items, revision, health);
-        self.take(changes);
+        self.apply(changes);
     }
 
-    /// The births of the servers that it would use.
-    fn used(&self) -> BTreeMap<String, u64> {
-        let used = self.fleet.live().filter(|(_, server)| server.takes_work());
-        used.map(|(_, server)| {
-            let record = &server.record;
-            (record.name.to_string(), record.born.millis())
-        })
-        .collect()
+    /// Start times of the servers that the VM would use.
+    fn usable(&self) -> BTreeMap<String, u64> {
+        let usable = self.fleet.live().filter(|(_, server)| server.takes_work());
+        usable
+            .map(|(_, server)| {
+                let record = &server.record;
+                (record.name.to_string(), record.born.millis())
+            })
+            .collect()
     }
 }
 
@@ -79,7 +81,7 @@
     }
 }
 
-/// The store, whole, with its history.
+/// The store with its full history.
 #[derive(Default)]
 struct TestStore {
     items: BTreeMap<String, StoreItem>,
@@ -112,26 +114,26 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A server starts, or starts again.
-    Birth(usize),
-    /// A server writes its entry again.
-    Beat(usize),
-    /// An entry goes.
-    Lapse(usize),
-    /// A watch brings a part of the history, perhaps one that is known.
+    /// A server starts or restarts.
+    Start(usize),
+    /// A server renews its entry.
+    Renew(usize),
+    /// An entry expires.
+    Expire(usize),
+    /// A watch delivers a part of the history, which may be known already.
     Watch(usize, prop::sample::Index, prop::sample::Index),
-    /// A VM takes another's copy.
+    /// A VM applies another VM's mirror.
     Copy(usize, usize),
-    /// A VM reads everything.
+    /// A VM reads the whole store.
     Read(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let name = 0..NAMES.len();
     prop_oneof![
-        name.clone().prop_map(Step::Birth),
-        name.clone().prop_map(Step::Beat),
-        name.prop_map(Step::Lapse),
+        name.clone().prop_map(Step::Start),
+        name.clone().prop_map(Step::Renew),
+        name.prop_map(Step::Expire),
         (
             0..VMS,
             any::<prop::sample::Index>(),
@@ -147,26 +149,26 @@
     #![proptest_config(ProptestConfig::with_cases(512))]
 
     #[test]
-    fn no_vm_uses_a_former_life_and_all_end_alike(
+    fn no_vm_uses_a_former_instance_and_all_converge(
         steps in proptest::collection::vec(step(), 1..60),
     ) {
         let mut store = TestStore::default();
-        let mut births = [0_u64; NAMES.len()];
+        let mut started = [0_u64; NAMES.len()];
         let mut vms: Vec<TestVm> = (0..VMS).map(|_| TestVm::new()).collect();
         for step in steps {
             match step {
-                Step::Birth(name) => {
-                    births[name] += 1;
-                    store.write(NAMES[name], births[name]);
+                Step::Start(name) => {
+                    started[name] += 1;
+                    store.write(NAMES[name], started[name]);
                 }
-                Step::Beat(name) if births[name] > 0 => store.write(NAMES[name], births[name]),
-                Step::Lapse(name) => store.delete(NAMES[name]),
+                Step::Renew(name) if started[name] > 0 => store.write(NAMES[name], started[name]),
+                Step::Expire(name) => store.delete(NAMES[name]),
                 Step::Watch(vm, from, to) if !store.history.is_empty() => {
                     let (from, to) = (from.index(store.history.len()), to.index(store.history.len()));
                     let part = &store.history[from.min(to)..=from.max(to)];
-                    vms[vm].hear(part.to_vec());
+                    vms[vm].receive(part.to_vec());
                 }
-                Step::Beat(_) | Step::Watch(..) => {}
+                Step::Renew(_) | Step::Watch(..) => {}
                 Step::Copy(from, to) => {
                     let (items, revision) = (vms[from].mirror.snapshot(), vms[from].mirror.revision());
                     vms[to].read_all(items, revision);
@@ -177,19 +179,19 @@
                 }
             }
             for vm in &vms {
-                for (name, born) in vm.used() {
-                    prop_assert!(born >= vm.seen[&name], "{name} was born again since");
+                for (name, born) in vm.usable() {
+                    prop_assert!(born >= vm.seen[&name], "{name} has restarted since");
                 }
             }
         }
-        let truth: BTreeMap<String, u64> = store.items.iter().map(|(name, item)| {
+        let expected: BTreeMap<String, u64> = store.items.iter().map(|(name, item)| {
             let born = std::str::from_utf8(&item.value).unwrap().parse().unwrap();
             (name.clone(), born)
         }).collect();
         for vm in &mut vms {
             let items = store.items.values().cloned().collect();
             vm.read_all(items, store.revision());
-            prop_assert_eq!(vm.used(), truth.clone());
+            prop_assert_eq!(vm.usable(), expected.clone());
         }
     }
 }
--- a/crates/fleet/tests/herd.rs
+++ b/crates/fleet/tests/herd.rs
@@ -1,4 +1,4 @@
-//! Many VMs that choose by knowledge of the same age, in virtual time.
+//! Many VMs that choose servers on load data of the same age, in virtual time.
 
 mod support;
 
@@ -16,11 +16,12 @@
 
 const SERVERS: usize = 2;
 const SLOTS: u32 = 6;
-/// Requests that a server takes before it turns others away.
-const ROOM: u32 = 30;
-/// Time of one request in a slot.
+/// Number of requests that a server accepts before it rejects others.
+const MAX_REQUESTS: u32 = 30;
+/// Processing time of one request in a slot.
 const SERVICE_MS: u64 = 30;
-/// Time after which a request has waited for more than twice its own time.
+/// Time to completion beyond which a request has waited for more than twice its own
+/// time.
 const SLOW_MS: u64 = 3 * SERVICE_MS;
 
 fn view(vm: usize, vms: usize, age_ms: u64, off: &[DecisionSwitch]) -> FleetView {
@@ -44,17 +45,17 @@
     view
 }
 
-/// A request at a server.
+/// Request at a server.
 #[derive(Clone, Copy)]
 struct Request {
     vm: usize,
     attempt: u64,
     sent: u64,
-    /// When it is done, once it runs.
+    /// Time of completion, set when the request starts to run.
     end: u64,
 }
 
-/// A server as it is.
+/// Simulated server.
 #[derive(Clone, Default)]
 struct Server {
     queue: VecDeque<Request>,
@@ -66,12 +67,13 @@
         u32::try_from(self.queue.len() + self.running.len()).unwrap()
     }
 
-    fn of(&self, vm: usize) -> u32 {
+    fn requests_of(&self, vm: usize) -> u32 {
         let all = self.queue.iter().chain(&self.running);
         u32::try_from(all.filter(|request| request.vm == vm).count()).unwrap()
     }
 
-    /// Lets requests end and begin; returns those that have ended.
+    /// Advances to `now`: completes and starts requests, and returns the completed
+    /// ones.
     fn step(&mut self, now: u64) -> Vec<Request> {
         let (ended, running) = self.running.iter().partition(|request| request.end <= now);
         self.running = running;
@@ -90,13 +92,13 @@
 struct Outcome {
     arrivals: u32,
     rejected: u32,
-    /// Requests that ended after the goal would have passed for a caller close by.
+    /// Requests that took longer than `SLOW_MS`, beyond the goal of a nearby caller.
     slow: u32,
 }
 
-/// `rate` requests a second for ten seconds from `vms` VMs that know of each other's
-/// work as it was `age_ms` ago, renewed as often.
-fn play(vms: usize, rate: f64, age_ms: u64, off: &[DecisionSwitch]) -> Outcome {
+/// Simulates `rate` requests per second for ten seconds from `vms` VMs, whose data on
+/// each other's work is `age_ms` old and renewed at the same interval.
+fn simulate(vms: usize, rate: f64, age_ms: u64, off: &[DecisionSwitch]) -> Outcome {
     let mut rng = StdRng::seed_from_u64(5);
     let mut views: Vec<FleetView> = (0..vms).map(|vm| view(vm, vms, age_ms, off)).collect();
     let ids: Vec<ServerId> = (0..SERVERS)
@@ -118,7 +120,7 @@
             for (vm, view) in views.iter_mut().enumerate() {
                 for (server, id) in servers.iter().zip(&ids) {
                     let others = WorkShare {
-                        requests: server.requests() - server.of(vm),
+                        requests: server.requests() - server.requests_of(vm),
                         ..WorkShare::default()
                     };
                     view.server_mut(*id).set_others(at(now), others);
@@ -135,7 +137,7 @@
         };
         let server = ids.iter().position(|id| *id == choice.server).unwrap();
         outcome.arrivals += 1;
-        if servers[server].requests() >= ROOM {
+        if servers[server].requests() >= MAX_REQUESTS {
             outcome.rejected += 1;
             continue;
         }
@@ -157,29 +159,29 @@
     rate: f64,
     age_ms: u64,
     off: &'static [DecisionSwitch],
-    /// Of a thousand requests: at most so many slow, and so many turned away.
+    /// Maximum numbers of slow and of rejected requests per thousand.
     slow: u32,
     rejected: u32,
 }
 
-/// Three quarters and 85 in 100 of what the servers can do.
-const USUAL: f64 = 300.0;
+/// 75 % and 85 % of the servers' capacity.
+const NORMAL: f64 = 300.0;
 const BUSY: f64 = 340.0;
 
 #[test]
-fn vms_with_the_same_knowledge_do_not_all_take_the_same_server() {
+fn vms_with_the_same_load_data_do_not_all_choose_the_same_server() {
     let cases = [
         HerdCase {
-            name: "few VMs, young knowledge",
+            name: "few VMs, recent data",
             vms: 3,
-            rate: USUAL,
+            rate: NORMAL,
             age_ms: 30,
             off: &[],
             slow: 0,
             rejected: 0,
         },
         HerdCase {
-            name: "few VMs, old knowledge",
+            name: "few VMs, old data",
             vms: 3,
             rate: BUSY,
             age_ms: 250,
@@ -190,7 +192,7 @@
         HerdCase {
             name: "many VMs",
             vms: 100,
-            rate: USUAL,
+            rate: NORMAL,
             age_ms: 150,
             off: &[],
             slow: 50,
@@ -206,18 +208,18 @@
             rejected: 3,
         },
         HerdCase {
-            name: "many VMs that each take the best server",
+            name: "many VMs that each choose the best server",
             vms: 100,
-            rate: USUAL,
+            rate: NORMAL,
             age_ms: 150,
             off: &[DecisionSwitch::LevelDraw],
             slow: 1000,
             rejected: 1000,
         },
     ];
-    let mut drawn = 0;
+    let mut slow_if_drawn = 0;
     for case in cases {
-        let outcome = play(case.vms, case.rate, case.age_ms, case.off);
+        let outcome = simulate(case.vms, case.rate, case.age_ms, case.off);
         let of_thousand = |count: u32| count * 1000 / outcome.arrivals.max(1);
         let (slow, rejected) = (of_thousand(outcome.slow), of_thousand(outcome.rejected));
         assert!(slow <= case.slow, "{}: {slow} slow", case.name);
@@ -227,12 +229,12 @@
             case.name
         );
         if case.name == "many VMs" {
-            drawn = slow;
+            slow_if_drawn = slow;
         }
         if !case.off.is_empty() {
             assert!(
-                slow > 3 * drawn,
-                "{}: {slow} slow, {drawn} if drawn",
+                slow > 3 * slow_if_drawn,
+                "{}: {slow} slow, {slow_if_drawn} if drawn",
                 case.name
             );
         }
--- a/crates/fleet/tests/homes.rs
+++ b/crates/fleet/tests/homes.rs
@@ -1,4 +1,5 @@
-//! Regions that may serve a request: what route and team allow both.
+//! Regions that may serve a request: the intersection of those that route and team
+//! allow.
 
 use onyxfall_fleet::HomeRegions;
 use onyxfall_types::RegionName;
@@ -15,21 +16,21 @@
 }
 
 proptest! {
-    /// A request that passes any number of VMs, each of which cuts its regions down by
-    /// what it knows of route and team, is allowed only where all of them allow it.
+    /// A request may pass any number of VMs, each of which restricts its regions by its
+    /// own route and team configuration. It is allowed only where all of them allow it.
     #[test]
-    fn a_region_serves_only_what_everybody_on_the_way_allows(
+    fn a_region_is_allowed_only_if_all_vms_on_the_path_allow_it(
         limits in prop::collection::vec(homes(), 1..6),
     ) {
-        let mut told = HomeRegions::Any;
+        let mut received = HomeRegions::Any;
         for limit in &limits {
-            // Between VMs it travels as text.
-            told = told.and(limit).to_string().parse().unwrap();
+            // Sets of regions are sent between VMs as text.
+            received = received.and(limit).to_string().parse().unwrap();
         }
         for name in REGIONS {
             let region: RegionName = name.parse().unwrap();
             let all = limits.iter().all(|limit| limit.allows(&region));
-            prop_assert_eq!(told.allows(&region), all, "{} of {:?}", name, limits);
+            prop_assert_eq!(received.allows(&region), all, "{} of {:?}", name, limits);
         }
     }
 }
--- a/crates/fleet/tests/lives.rs
+++ b/crates/fleet/tests/instances.rs
@@ -1,5 +1,5 @@
-//! Servers that start again under their name: what was known of a former life is never
-//! used for a later one.
+//! Servers that restart under their name: state of a former instance is never used for a later
+//! one.
 
 mod support;
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_later_life_starts_without_what_was_known_of_the_former() {
+fn a_later_instance_has_no_state_of_the_former_one() {
     let mut fleet = view();
     fleet.put_server(at(0), ready("s1", 100), None);
     let former = fleet.find("s1").unwrap();
@@ -48,24 +48,26 @@
 
     fleet.put_server(at(6000), ready("s1", 7000), None);
     let later = fleet.find("s1").unwrap();
-    assert_ne!(later, former, "another life");
+    assert_ne!(later, former, "another instance");
     assert!(fleet.server(former).is_gone() && fleet.server(former).is_replaced());
     assert!(
         fleet.is_silent(at(6000), former),
-        "what ran there has ended"
+        "attempts at the former instance have ended"
     );
-    assert!(!fleet.is_silent(at(6000), later), "no vote of before");
-    assert!(fleet.server(later).is_trusted(at(6000)), "no breaker");
-    assert!(fleet.server(later).is_cold(at(6000)), "it is cold");
-    assert_eq!(
-        fleet.server(later).work(),
-        WorkShare::default(),
-        "and has no work"
+    assert!(
+        !fleet.is_silent(at(6000), later),
+        "no votes of the former instance"
+    );
+    assert!(
+        fleet.server(later).is_trusted(at(6000)),
+        "a closed circuit breaker"
     );
+    assert!(fleet.server(later).is_cold(at(6000)), "a cold server");
+    assert_eq!(fleet.server(later).work(), WorkShare::default(), "no work");
     assert_eq!(
         fleet.find_tag(former_tag),
         None,
-        "work told of before finds nobody"
+        "work reported for the former instance is not attributed"
     );
     assert_eq!(fleet.find_tag(fleet.server(later).tag()), Some(later));
 }
@@ -80,41 +82,41 @@
 struct OrderCase {
     name: &'static str,
     steps: &'static [Step],
-    /// Birth of the life that is known at the end, and whether it takes work.
+    /// Start time of the instance known at the end, and whether it takes work.
     known: Option<(u64, bool)>,
 }
 
 #[test]
-fn an_entry_of_a_former_life_changes_nothing() {
+fn an_entry_of_a_former_instance_changes_nothing() {
     use Step::{Drain, Put, Remove};
     let cases = [
         OrderCase {
-            name: "late, after the later one",
+            name: "arrives after the later entry",
             steps: &[Put("s1", 200), Put("s1", 100)],
             known: Some((200, true)),
         },
         OrderCase {
-            name: "late, and it was leaving",
+            name: "arrives after the later entry, and is draining",
             steps: &[Put("s1", 200), Drain("s1", 100)],
             known: Some((200, true)),
         },
         OrderCase {
-            name: "late, after the later one is gone",
+            name: "arrives after the later entry was removed",
             steps: &[Put("s1", 200), Remove("s1"), Put("s1", 100)],
             known: None,
         },
         OrderCase {
-            name: "the same life is back after its entry had lapsed",
+            name: "the same instance is back after its entry expired",
             steps: &[Put("s1", 200), Remove("s1"), Put("s1", 200)],
             known: Some((200, true)),
         },
         OrderCase {
-            name: "the later one does not leave because the former did",
+            name: "the later instance is ready though the former one was draining",
             steps: &[Drain("s1", 100), Put("s1", 200)],
             known: Some((200, true)),
         },
         OrderCase {
-            name: "a writer that says no birth comes after one that does",
+            name: "an entry without a start time arrives after one with it",
             steps: &[Put("s1", 200), Put("s1", 0)],
             known: Some((200, true)),
         },
@@ -142,20 +144,20 @@
 const NAMES: [&str; 3] = ["s1", "s2", "s3"];
 
 proptest! {
-    /// Whatever the delays, repeats and losses of entries, a VM that has had the last one
-    /// of each server knows just these lives, and uses no other.
+    /// With any delays, repetitions and losses of entries, a VM that has received the last entry
+    /// of each server has exactly these instances and uses no others.
     #[test]
-    fn every_order_of_entries_ends_in_the_latest_lives(
-        births in proptest::collection::vec((0..3usize, 1..6u64), 1..12),
+    fn every_order_of_entries_ends_with_the_latest_instances(
+        starts in proptest::collection::vec((0..3usize, 1..6u64), 1..12),
         order in proptest::collection::vec(0..12usize, 0..30),
     ) {
         let mut fleet = view();
         let mut latest: BTreeMap<&str, u64> = BTreeMap::new();
-        for (name, born) in &births {
+        for (name, born) in &starts {
             let newest = latest.entry(NAMES[*name]).or_default();
             *newest = (*newest).max(*born);
         }
-        let some = order.iter().filter_map(|index| births.get(*index));
+        let some = order.iter().filter_map(|index| starts.get(*index));
         let rest = latest.iter().map(|(name, born)| (*name, *born));
         let all = some.map(|(name, born)| (NAMES[*name], *born)).chain(rest);
         for (index, (name, born)) in all.enumerate() {
--- a/crates/fleet/tests/learn.rs
+++ b/crates/fleet/tests/learn.rs
@@ -1,4 +1,4 @@
-//! What is learned of engines, plain services, answers and distances.
+//! Learned costs of engines and plain services, response lengths and round-trip times.
 
 mod support;
 
@@ -16,22 +16,22 @@
 use rand::{Rng, SeedableRng};
 use support::{at, place, ready_server};
 
-/// Answers after which an estimate must hold.
-const LEARNING: usize = 50;
-/// Error that is allowed then, in the median of many requests.
-const ALLOWED: f64 = 0.1;
+/// Responses after which an estimate must be accurate.
+const TRAINING_RESPONSES: usize = 50;
+/// Largest median error of an accurate estimate.
+const MAX_ERROR: f64 = 0.1;
 
-/// An engine: a step reads prompts and makes one token for each request.
+/// Simulated engine: a step prefills prompts and generates one token for each request.
 #[derive(Clone, Copy, Debug)]
 struct EngineCase {
     name: &'static str,
-    /// Prompt tokens read in a millisecond.
-    read_rate: f64,
-    /// Milliseconds of a step without any request, and for each request.
+    /// Prompt tokens prefilled in a millisecond.
+    prefill_rate: f64,
+    /// Milliseconds of a step: fixed part, and part for each request.
     step_ms: f64,
     step_ms_each: f64,
     batch: u32,
-    /// Largest deviation of one answer, as a factor.
+    /// Largest deviation of one response, as a factor.
     noise: f64,
 }
 
@@ -39,7 +39,7 @@
     fn first_ms(&self, load: &EngineLoad) -> f64 {
         let step = self.step_ms + self.step_ms_each * f64::from(load.running);
         let tokens = load.own as f64 + 0.8 * load.ahead as f64 + 0.3 * load.behind as f64;
-        10.0 + 3.0 * step + tokens / self.read_rate
+        10.0 + 3.0 * step + tokens / self.prefill_rate
     }
 
     fn load(&self, rng: &mut StdRng) -> EngineLoad {
@@ -58,7 +58,7 @@
         costs.learn_first(&load, took, 1.0);
     }
 
-    /// Median error of predictions, relative to the truth.
+    /// Median error of predictions, relative to the true value.
     fn error(&self, rng: &mut StdRng, costs: &EngineCosts) -> f64 {
         let mut errors: Vec<f64> = (0..400)
             .map(|_| {
@@ -72,8 +72,8 @@
 }
 
 const USUAL: EngineCase = EngineCase {
-    name: "in the middle",
-    read_rate: 57.0,
+    name: "medium",
+    prefill_rate: 57.0,
     step_ms: 4.0,
     step_ms_each: 0.09,
     batch: 64,
@@ -83,21 +83,21 @@
 const ENGINES: &[EngineCase] = &[
     USUAL,
     EngineCase {
-        name: "slow reader",
-        read_rate: 20.0,
+        name: "slow prefill",
+        prefill_rate: 20.0,
         step_ms: 12.0,
         ..USUAL
     },
     EngineCase {
-        name: "fast reader, large batch",
-        read_rate: 200.0,
+        name: "fast prefill, large batch",
+        prefill_rate: 200.0,
         step_ms: 2.0,
         batch: 256,
         ..USUAL
     },
     EngineCase {
         name: "small batch",
-        read_rate: 112.0,
+        prefill_rate: 112.0,
         step_ms: 3.2,
         batch: 16,
         ..USUAL
@@ -110,22 +110,22 @@
 ];
 
 #[test]
-fn engines_are_known_after_fifty_answers() {
+fn engine_costs_are_accurate_after_fifty_responses() {
     for case in ENGINES {
         for seed in 0..5 {
             let mut rng = StdRng::seed_from_u64(seed);
             let mut costs = EngineCosts::default();
-            for _ in 0..LEARNING {
+            for _ in 0..TRAINING_RESPONSES {
                 case.observe(&mut rng, &mut costs, 1.0);
             }
             let error = case.error(&mut rng, &costs);
-            assert!(error < ALLOWED, "{}, seed {seed}: {error:.3}", case.name);
+            assert!(error < MAX_ERROR, "{}, seed {seed}: {error:.3}", case.name);
         }
     }
 }
 
 #[test]
-fn a_change_of_the_engine_is_followed() {
+fn costs_adapt_to_a_change_of_the_engine() {
     for (before, after) in [(1.0, 2.5), (1.0, 0.4)] {
         for seed in 0..5 {
             let mut rng = StdRng::seed_from_u64(seed);
@@ -134,17 +134,17 @@
                 USUAL.observe(&mut rng, &mut costs, before);
             }
             let changed = EngineCase {
-                read_rate: USUAL.read_rate / after,
+                prefill_rate: USUAL.prefill_rate / after,
                 step_ms: USUAL.step_ms * after,
                 ..USUAL
             };
-            for _ in 0..3 * LEARNING {
+            for _ in 0..3 * TRAINING_RESPONSES {
                 changed.observe(&mut rng, &mut costs, 1.0);
             }
             let error = changed.error(&mut rng, &costs);
             assert!(
-                error < 2.0 * ALLOWED,
-                "{after} times, seed {seed}: {error:.3}"
+                error < 2.0 * MAX_ERROR,
+                "factor {after}, seed {seed}: {error:.3}"
             );
         }
     }
@@ -186,8 +186,8 @@
     }
 }
 
-/// Sends one request to each server in turn; each takes `factor` of what it should.
-fn play(view: &mut FleetView, servers: &[(ServerId, f64)], rounds: u64) {
+/// Sends requests to the servers in turn; each takes `factor` times the normal time.
+fn simulate(view: &mut FleetView, servers: &[(ServerId, f64)], rounds: u64) {
     let mut rng = StdRng::seed_from_u64(7);
     for round in 0..rounds {
         for (index, (server, factor)) in servers.iter().enumerate() {
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn slow_servers_are_known_and_do_not_slow_the_picture_of_others() {
+fn slow_servers_are_detected_and_do_not_affect_estimates_of_others() {
     let mut view = view();
     let servers: Vec<(ServerId, f64)> = (0..10)
         .map(|i| {
@@ -212,31 +212,31 @@
             (add_server(&mut view, &format!("s{i}"), 64), factor)
         })
         .collect();
-    play(&mut view, &servers, 20);
+    simulate(&mut view, &servers, 20);
     let fresh = needs(u64::MAX, 6000);
     for (server, factor) in servers {
         let predicted = view
             .predict_first(at(1_000_000_000), server, &fresh)
             .as_secs_f64()
             * 1e3;
-        let truth = (40.0 + 6000.0 / 30.0) * factor;
-        let ratio = predicted / truth;
+        let expected = (40.0 + 6000.0 / 30.0) * factor;
+        let ratio = predicted / expected;
         assert!(
             (0.75..1.33).contains(&ratio),
-            "factor {factor}: {predicted:.0} of {truth:.0} ms"
+            "factor {factor}: {predicted:.0} of {expected:.0} ms"
         );
     }
 }
 
 #[test]
-fn without_learning_the_prior_stands() {
+fn without_learning_the_prior_is_used() {
     let mut view = view();
     let server = add_server(&mut view, "s", 64);
     let before = view.predict_first(at(0), server, &needs(1, 5000));
     let off = DecisionSwitches::new("expected".parse().unwrap(), [DecisionSwitch::LearnedCosts]);
     view.set_switches(off);
-    // What is learned of the one server is its slowness; of the service, nothing.
-    play(&mut view, &[(server, 5.0)], 20);
+    // Only the slowness of the server is learned, and no costs of the service.
+    simulate(&mut view, &[(server, 5.0)], 20);
     assert_eq!(view.cost_reports(CostView::Own).count(), 0);
     assert!(
         view.prefill_time(&"svc".parse().unwrap(), 1000) == Duration::from_millis(20),
@@ -245,26 +245,26 @@
 }
 
 #[test]
-fn a_fresh_vm_takes_what_others_have_learned() {
+fn a_new_vm_uses_costs_that_others_have_learned() {
     let mut learned = view();
     let server = add_server(&mut learned, "s", 64);
-    play(&mut learned, &[(server, 1.0)], 100);
+    simulate(&mut learned, &[(server, 1.0)], 100);
     let (service, report) = learned.cost_reports(CostView::Own).next().unwrap();
-    let mut fresh = view();
-    let server = add_server(&mut fresh, "s", 64);
-    assert!(!fresh.receive_costs(
+    let mut new = view();
+    let server = add_server(&mut new, "s", 64);
+    assert!(!new.receive_costs(
         at(0),
         &"vm1".parse().unwrap(),
         CostSource::Member,
         service,
         report
     ));
-    let predicted = fresh
+    let predicted = new
         .predict_first(at(0), server, &needs(1, 6000))
         .as_secs_f64()
         * 1e3;
     assert!(
-        (predicted / 240.0 - 1.0).abs() < ALLOWED,
+        (predicted / 240.0 - 1.0).abs() < MAX_ERROR,
         "{predicted:.0} of 240 ms"
     );
 }
@@ -272,11 +272,11 @@
 struct ReportCase {
     name: &'static str,
     report: CostReport,
-    absurd: bool,
+    is_out_of_bounds: bool,
 }
 
 #[test]
-fn absurd_reports_are_bounded() {
+fn reports_out_of_bounds_are_clamped() {
     let usual = CostReport {
         vms: 1,
         first: [40.0, 20.0, 12.0, 5.0, 4.0],
@@ -290,15 +290,15 @@
         ReportCase {
             name: "usual",
             report: usual,
-            absurd: false,
+            is_out_of_bounds: false,
         },
         ReportCase {
-            name: "no number",
+            name: "not a number",
             report: CostReport {
                 first: [f64::NAN; 5],
                 ..usual
             },
-            absurd: true,
+            is_out_of_bounds: true,
         },
         ReportCase {
             name: "negative",
@@ -306,24 +306,24 @@
                 pace: [-1.0, 8.0, 8.0],
                 ..usual
             },
-            absurd: true,
+            is_out_of_bounds: true,
         },
         ReportCase {
-            name: "endless",
+            name: "infinite",
             report: CostReport {
                 plain_ms: f64::INFINITY,
                 ..usual
             },
-            absurd: true,
+            is_out_of_bounds: true,
         },
         ReportCase {
-            name: "nothing costs anything",
+            name: "zero costs",
             report: CostReport {
                 first: [0.0; 5],
                 plain_ms: 0.0,
                 ..usual
             },
-            absurd: true,
+            is_out_of_bounds: true,
         },
     ];
     let load = EngineLoad {
@@ -332,13 +332,13 @@
     };
     for case in cases {
         let mut costs = ServiceCosts::default();
-        let absurd = costs.hear(
+        let is_out_of_bounds = costs.receive(
             at(0),
             &"vm1".parse().unwrap(),
             CostSource::Member,
             case.report,
         );
-        assert_eq!(absurd, case.absurd, "{}", case.name);
+        assert_eq!(is_out_of_bounds, case.is_out_of_bounds, "{}", case.name);
         for ms in [costs.first_ms(&load), costs.plain_ms(), costs.read_ms(1000)] {
             assert!(ms.is_finite() && ms > 0.0, "{}: {ms}", case.name);
         }
@@ -346,51 +346,52 @@
 }
 
 #[test]
-fn a_prefix_is_kept_for_as_long_as_memory_lasts() {
-    struct LifeCase {
+fn a_prefix_is_cached_until_the_memory_is_full() {
+    struct CacheCase {
         name: &'static str,
-        /// Requests of 10,000 fresh tokens that follow, one each 100 ms, to a server
-        /// whose memory holds 100 of them.
+        /// Requests of 10,000 new tokens that follow, one every 100 ms, to a server whose
+        /// memory holds 100 of them.
         following: u64,
-        /// Tokens a second that another VM tells of.
-        told: u64,
-        unread: u64,
+        /// Tokens a second that another VM reports.
+        reported: u64,
+        /// Tokens of the prefix that have to be prefilled at the end.
+        prefill: u64,
     }
     let cases = [
-        LifeCase {
-            name: "nothing follows",
+        CacheCase {
+            name: "no requests follow",
             following: 0,
-            told: 0,
-            unread: 0,
+            reported: 0,
+            prefill: 0,
         },
-        LifeCase {
-            name: "less follows than memory holds",
+        CacheCase {
+            name: "fewer tokens follow than the memory holds",
             following: 90,
-            told: 0,
-            unread: 0,
+            reported: 0,
+            prefill: 0,
         },
-        LifeCase {
-            name: "more follows than memory holds",
+        CacheCase {
+            name: "more tokens follow than the memory holds",
             following: 110,
-            told: 0,
-            unread: 5000,
+            reported: 0,
+            prefill: 5000,
         },
-        LifeCase {
-            name: "another VM fills it",
+        CacheCase {
+            name: "another VM fills the memory",
             following: 60,
-            told: 100_000,
-            unread: 5000,
+            reported: 100_000,
+            prefill: 5000,
         },
     ];
     for case in cases {
         let mut view = view();
         let server = add_server(&mut view, "s", 64);
         let first = needs(u64::MAX, 5000);
-        let told = WorkShare {
-            flow: case.told,
+        let remote = WorkShare {
+            flow: case.reported,
             ..WorkShare::default()
         };
-        view.server_mut(server).set_others(at(0), told);
+        view.server_mut(server).set_others(at(0), remote);
         for number in 0..=case.following {
             let now = at(number * 100);
             let call = if number == 0 {
@@ -403,13 +404,13 @@
             view.end_attempt(now, server, number, AttemptResult::Succeeded, None);
         }
         let now = at(case.following * 100);
-        let unread = view.server(server).prefill_tokens(now, &first.prompt);
-        assert_eq!(unread, case.unread, "{}", case.name);
+        let prefill = view.server(server).prefill_tokens(now, &first.prompt);
+        assert_eq!(prefill, case.prefill, "{}", case.name);
     }
 }
 
 #[test]
-fn dials_wait_for_a_round_trip_and_longer_each_time() {
+fn dial_timeouts_cover_a_round_trip_and_grow_with_failures() {
     struct DialCase {
         name: &'static str,
         seen_ms: &'static [u64],
@@ -424,7 +425,7 @@
             expected_ms: 170,
         },
         DialCase {
-            name: "unknown, twice in vain",
+            name: "unknown, after two failures",
             seen_ms: &[],
             failures: 2,
             expected_ms: 680,
@@ -442,7 +443,7 @@
             expected_ms: 470,
         },
         DialCase {
-            name: "far, in vain for long",
+            name: "far, after many failures",
             seen_ms: &[300],
             failures: 40,
             expected_ms: 1500,
@@ -464,9 +465,9 @@
 }
 
 proptest! {
-    /// Whatever is observed, estimates are numbers, and nothing divides by nothing.
+    /// Estimates stay finite under any observations, and no division by zero occurs.
     #[test]
-    fn estimates_stay_sound(
+    fn estimates_stay_finite(
         seen in prop::collection::vec(
             (0_u64..u64::MAX, 0_u64..u64::MAX, any::<u32>(), 0_u64..10_000_000, 0.0_f64..100.0),
             0..200,
@@ -475,20 +476,20 @@
     ) {
         let mut costs = EngineCosts::default();
         let mut plain = PlainCosts::default();
-        for (own, ahead, running, took, doubt) in seen {
+        for (own, ahead, running, took, uncertainty) in seen {
             let load = EngineLoad { own: own >> 20, ahead: ahead >> 20, behind: 0, running };
             let took = Duration::from_micros(took);
-            costs.learn_first(&load, took, doubt);
-            costs.learn_rest(&load, took, f64::from(running), doubt);
-            plain.learn(took, doubt);
+            costs.learn_first(&load, took, uncertainty);
+            costs.learn_rest(&load, took, f64::from(running), uncertainty);
+            plain.learn(took, uncertainty);
             prop_assert!(costs.first_ms(&load).is_finite());
             prop_assert!(costs.pace_ms(&load, f64::from(running)).is_finite());
             prop_assert!(plain.service_ms().is_finite() && plain.service_ms() > 0.0);
         }
-        let mut answers = ResponseLengths::default();
+        let mut responses = ResponseLengths::default();
         for (tokens, events) in lengths {
-            answers.learn("r", tokens, events);
-            let expected = answers.expected("r", tokens);
+            responses.learn("r", tokens, events);
+            let expected = responses.expected("r", tokens);
             prop_assert!(expected.is_none_or(f64::is_finite));
         }
     }
--- a/crates/fleet/tests/silence.rs
+++ b/crates/fleet/tests/liveness.rs
@@ -1,4 +1,5 @@
-//! When servers are taken for silent: votes, and false suspicion over random paces.
+//! When servers are treated as unresponsive: votes, and false detection under random response
+//! times.
 
 mod support;
 
@@ -73,83 +74,89 @@
 
 struct VoteCase {
     name: &'static str,
-    /// Whether each VM has had an answer, a broken connection, or waits.
-    vms: &'static [VmSight],
-    silent: bool,
+    /// Observation of each VM.
+    vms: &'static [Observation],
+    is_silent: bool,
 }
 
+/// Observation of a server by one VM.
 #[derive(Clone, Copy)]
-enum VmSight {
-    Answered,
-    Broken,
-    Waits,
+enum Observation {
+    Response,
+    Disconnect,
+    Overdue,
     Nothing,
 }
 
 #[test]
-fn servers_are_taken_for_silent_by_several_vms_only() {
-    use VmSight::{Answered, Broken, Nothing, Waits};
+fn several_votes_make_a_server_unresponsive() {
+    use Observation::{Disconnect, Nothing, Overdue, Response};
     let cases = [
         VoteCase {
-            name: "nobody knows anything",
+            name: "no VM has an observation",
             vms: &[Nothing, Nothing],
-            silent: false,
+            is_silent: false,
         },
         VoteCase {
-            name: "one VM's connections break",
-            vms: &[Broken, Nothing, Nothing],
-            silent: false,
+            name: "one VM loses its connection",
+            vms: &[Disconnect, Nothing, Nothing],
+            is_silent: false,
         },
         VoteCase {
-            name: "two VMs' connections break",
-            vms: &[Broken, Broken, Nothing],
-            silent: true,
+            name: "two VMs lose their connections",
+            vms: &[Disconnect, Disconnect, Nothing],
+            is_silent: true,
         },
         VoteCase {
-            name: "two VMs wait for long",
-            vms: &[Waits, Waits, Nothing],
-            silent: true,
+            name: "two VMs have overdue responses",
+            vms: &[Overdue, Overdue, Nothing],
+            is_silent: true,
         },
         VoteCase {
-            name: "others have had answers",
-            vms: &[Broken, Waits, Answered, Answered],
-            silent: false,
+            name: "others have received responses",
+            vms: &[Disconnect, Overdue, Response, Response],
+            is_silent: false,
         },
         VoteCase {
-            name: "many against one",
-            vms: &[Broken, Broken, Waits, Answered],
-            silent: true,
+            name: "three bad votes against one good vote",
+            vms: &[Disconnect, Disconnect, Overdue, Response],
+            is_silent: true,
         },
     ];
     for case in cases {
         let (mut views, id) = (Vec::new(), view(0).1);
-        for (vm, sight) in case.vms.iter().enumerate() {
+        for (vm, observation) in case.vms.iter().enumerate() {
             let (mut view, _) = view(vm);
-            match sight {
-                Answered => {
+            match observation {
+                Response => {
                     view.start_attempt(at(900), id, 1, &needs());
                     view.note_answer(at(1900), id, 1);
                 }
-                Broken => {
+                Disconnect => {
                     view.start_attempt(at(900), id, 1, &needs());
                     view.end_attempt(at(1900), id, 1, AttemptResult::Broken, None);
                 }
-                Waits => view.start_attempt(at(0), id, 1, &needs()),
+                Overdue => view.start_attempt(at(0), id, 1, &needs()),
                 Nothing => {}
             }
             views.push(view);
         }
         exchange(&mut views, id, at(2000));
         for view in &views {
-            assert_eq!(view.is_silent(at(2000), id), case.silent, "{}", case.name);
+            assert_eq!(
+                view.is_silent(at(2000), id),
+                case.is_silent,
+                "{}",
+                case.name
+            );
         }
     }
 }
 
-/// Ten VMs send a server requests whose first bytes take any time up to three times
-/// the prediction; one VM is paused now and then, and one has no network.
+/// Ten VMs send a server requests whose first bytes take up to three times the predicted time.
+/// One VM is paused repeatedly, and one has no network.
 #[test]
-fn a_server_that_answers_is_never_taken_for_silent() {
+fn a_server_that_responds_is_never_unresponsive() {
     let mut rng = StdRng::seed_from_u64(9);
     let (mut views, id) = (Vec::new(), view(0).1);
     for vm in 0..10 {
@@ -190,9 +197,9 @@
     }
 }
 
-/// Time from a server's last sign until every VM takes it for silent.
+/// Time from a server's last liveness signal until every VM treats it as unresponsive.
 #[test]
-fn a_server_that_goes_dark_under_load_is_noticed_within_a_second() {
+fn a_server_that_loses_power_under_load_is_detected_within_a_second() {
     let (mut views, id) = (Vec::new(), view(0).1);
     for vm in 0..10 {
         let (mut view, _) = view(vm);
