--- a/crates/fleet/tests/mirror.rs
+++ b/crates/fleet/tests/mirror.rs
@@ -1,4 +1,4 @@
-//! The copy of the store, in tables of cases.
+//! Updates of the local copy of the store, and its state after outages and restores.
 
 mod support;
 
@@ -26,57 +26,57 @@
     MirrorChange::Removed(key.to_owned())
 }
 
-struct NewsCase {
+struct UpdateCase {
     name: &'static str,
     event: StoreEvent,
     health: StoreHealth,
-    /// What it means at once.
+    /// Changes that the event causes at once.
     changes: Vec<MirrorChange>,
-    /// What it means when the return window is over.
-    later: Vec<MirrorChange>,
+    /// Changes at the end of the return window.
+    expired: Vec<MirrorChange>,
 }
 
 #[test]
-fn news_is_taken_by_revision_and_health() {
+fn updates_apply_by_revision_and_store_health() {
     let deletion = |revision| StoreEvent::Delete {
         key: "a".to_owned(),
         revision,
     };
     let cases = [
-        NewsCase {
+        UpdateCase {
             name: "a newer value",
             event: StoreEvent::Put(item("a", 6)),
             health: StoreHealth::Steady,
             changes: vec![set("a", 6)],
-            later: vec![],
+            expired: vec![],
         },
-        NewsCase {
+        UpdateCase {
             name: "an older value",
             event: StoreEvent::Put(item("a", 4)),
             health: StoreHealth::Steady,
             changes: vec![],
-            later: vec![],
+            expired: vec![],
         },
-        NewsCase {
-            name: "a deletion in steady times",
+        UpdateCase {
+            name: "a deletion while the store is available",
             event: deletion(6),
             health: StoreHealth::Steady,
             changes: vec![removed("a")],
-            later: vec![],
+            expired: vec![],
         },
-        NewsCase {
-            name: "a deletion after an outage counts when its owner stays away",
+        UpdateCase {
+            name: "a deletion after an outage applies if the owner does not return",
             event: deletion(6),
             health: StoreHealth::Returned,
             changes: vec![],
-            later: vec![removed("a")],
+            expired: vec![removed("a")],
         },
-        NewsCase {
-            name: "a deletion of an older life of the key",
+        UpdateCase {
+            name: "a deletion before the key was written again",
             event: deletion(4),
             health: StoreHealth::Steady,
             changes: vec![],
-            later: vec![],
+            expired: vec![],
         },
     ];
     for case in cases {
@@ -84,8 +84,12 @@
         mirror.replace(at(0), "", vec![item("a", 5)], 5, StoreHealth::Steady);
         let changes = mirror.apply(at(10), vec![case.event], case.health);
         assert_eq!(changes, case.changes, "{}: at once", case.name);
-        let later = mirror.expire(at(10) + RETURN_WINDOW);
-        assert_eq!(later, case.later, "{}: later", case.name);
+        let expired = mirror.expire(at(10) + RETURN_WINDOW);
+        assert_eq!(
+            expired, case.expired,
+            "{}: at the end of the window",
+            case.name
+        );
     }
 }
 
@@ -96,7 +100,7 @@
     mirror.replace(at(10), "", vec![], 7, StoreHealth::Returned);
     assert!(
         mirror.snapshot().is_empty(),
-        "a missing item is not passed on"
+        "a missing item is not sent on"
     );
     let back = StoreEvent::Put(item("a", 8));
     mirror.apply(at(500), vec![back], StoreHealth::Returned);
@@ -123,7 +127,7 @@
 }
 
 #[test]
-fn a_copy_that_is_passed_changes_equals_the_one_that_watches() {
+fn a_copy_that_follows_a_watching_copy_equals_it() {
     let put = |key: &str, value: &'static str, revision| {
         StoreEvent::Put(StoreItem {
             key: key.to_owned(),
@@ -163,7 +167,7 @@
 }
 
 #[test]
-fn a_large_value_is_left_out_and_said_to_be() {
+fn a_delta_without_a_large_value_is_marked_partial() {
     let mut watching = StoreMirror::default();
     let item = StoreItem {
         key: "config".to_owned(),
@@ -176,14 +180,12 @@
     assert!(delta.is_partial && delta.items.is_empty());
 }
 
-/// What a VM told long ago, and another one hears only now.
-///
-/// Seen once: a link had been a standby's since the first second of a day. When the VM that
-/// had dialled it began to report on it, it was sent every change that was kept, from the
-/// first on, and passed them on. Servers that had gone 5.3 s before were there again, ready,
-/// on every VM of the data centre, and one got a request.
+/// Guards against old changes that bring back deleted items. When a connection of a standby
+/// became active, the VM that had dialled it was sent every recorded change from the first on
+/// and forwarded them. Servers that had been gone for 5.3 s were ready again on every VM of the
+/// data centre, and one of them got a request.
 #[test]
-fn an_item_that_was_deleted_does_not_come_back_by_old_news() {
+fn a_deleted_item_does_not_come_back_by_an_older_update() {
     let mut mirror = StoreMirror::default();
     let steady = StoreHealth::Steady;
     mirror.apply(at(0), vec![StoreEvent::Put(item("gone", 5))], steady);
@@ -205,9 +207,9 @@
     assert_eq!(mirror.apply(at(4), anew, steady), vec![set("gone", 12)]);
 }
 
-/// A change drawn by a property test: key, and whether it is written, deleted while the
-/// store is well, or missed after an outage.
-fn drawn_change(mirror: &mut StoreMirror, step: u64, key: u8, kind: u8) {
+/// Applies a random change: a write, a deletion while the store is available, a deletion after
+/// an outage, or the expiry of missing items.
+fn random_change(mirror: &mut StoreMirror, step: u64, key: u8, kind: u8) {
     let now = at(step * 700);
     let key = format!("k{key}");
     match kind {
@@ -234,14 +236,14 @@
 }
 
 proptest::proptest! {
-    /// The hash that is kept up to date is that of a copy that took the same items at once.
+    /// The incremental hash equals that of a copy to which the same items are applied at once.
     #[test]
-    fn a_copy_has_the_hash_of_its_items(
+    fn the_incremental_hash_equals_that_of_the_items(
         changes in proptest::collection::vec((0_u8..6, 0_u8..5), 0..80),
     ) {
         let mut mirror = StoreMirror::default();
         for (step, (key, kind)) in changes.into_iter().enumerate() {
-            drawn_change(&mut mirror, step as u64, key, kind);
+            random_change(&mut mirror, step as u64, key, kind);
             let mut fresh = StoreMirror::default();
             let puts = mirror.snapshot().into_iter().map(StoreEvent::Put);
             fresh.apply(at(0), puts.collect(), StoreHealth::Steady);
@@ -250,68 +252,68 @@
     }
 }
 
-/// A position as the copy has it.
+/// Order of a store position, which the copy uses as revision.
 fn order(era: u16, revision: u64) -> u64 {
     let position = StorePosition::new(StoreEra::new(era), revision);
     position.unwrap().order()
 }
 
-/// What a copy knows, what a restored store names, and what comes of it. Values are the
-/// order of their revision.
+/// History of the key `a` before and after a restore of the store. The value of an item is its
+/// revision.
 struct RestoredCase {
     name: &'static str,
     /// Revisions at which `a` was written and deleted in the first era; 0 for never.
     written: u64,
     deleted: u64,
-    /// Revision at which the restored store names it; 0 if it does not.
-    named: u64,
-    /// Revision at which it is written again, a second later; 0 if it is not.
-    again: u64,
-    /// Whether it is held at once, after a second and after ten.
-    held: [bool; 3],
+    /// Revision of `a` in the restored store; 0 if it has none.
+    restored: u64,
+    /// Revision at which `a` is written again 1 s later; 0 if it is not.
+    rewritten: u64,
+    /// Whether the copy has `a` at once, after 1 s and after 10 s.
+    is_present: [bool; 3],
 }
 
 #[test]
-fn a_restored_store_brings_nothing_back_and_takes_nothing_away_at_once() {
-    let case = |name, [written, deleted, named, again]: [u64; 4], held| RestoredCase {
+fn a_restored_store_adds_and_removes_items_only_after_a_delay() {
+    let case = |name, [written, deleted, restored, rewritten]: [u64; 4], is_present| RestoredCase {
         name,
         written,
         deleted,
-        named,
-        again,
-        held,
+        restored,
+        rewritten,
+        is_present,
     };
     let cases = [
         case("older than the copy", [5, 0, 5, 0], [true, true, true]),
         case("an older value", [50, 0, 5, 0], [true, true, true]),
         case(
-            "written since, and lost",
+            "written after the backup, and lost",
             [50, 0, 0, 0],
             [true, true, false],
         ),
         case(
-            "written since, and again",
+            "written after the backup, and written again",
             [50, 0, 0, 12],
             [true, true, true],
         ),
         case(
-            "deleted since, and it stays",
+            "deleted after the backup, and not deleted again",
             [5, 50, 5, 0],
             [false, false, true],
         ),
         case(
-            "deleted since, and written again",
+            "deleted after the backup, and written again",
             [5, 50, 5, 12],
             [false, true, true],
         ),
         case(
-            "deleted since, and again before it was read",
+            "deleted after the backup, and written before the read",
             [5, 50, 60, 0],
             [true, true, true],
         ),
         case("new in the second era", [0, 0, 11, 0], [true, true, true]),
         case(
-            "deleted before the copy, new since",
+            "deleted before the backup, and written after the restore",
             [5, 6, 0, 12],
             [false, true, true],
         ),
@@ -330,25 +332,25 @@
             mirror.apply(at(0), vec![StoreEvent::Delete { key, revision }], steady);
         }
         let mut items = vec![item("z", order(2, 1))];
-        if case.named > 0 {
-            items.push(item("a", order(2, case.named)));
+        if case.restored > 0 {
+            items.push(item("a", order(2, case.restored)));
         }
         mirror.replace(at(1000), "", items, order(2, 10), steady);
-        let held = |mirror: &StoreMirror| mirror.item_revision("a").is_some();
-        let mut seen = [held(&mirror), false, false];
-        if case.again > 0 {
-            mirror.apply(at(2000), put(order(2, case.again)), steady);
+        let is_present = |mirror: &StoreMirror| mirror.item_revision("a").is_some();
+        let mut observed = [is_present(&mirror), false, false];
+        if case.rewritten > 0 {
+            mirror.apply(at(2000), put(order(2, case.rewritten)), steady);
         }
         mirror.expire(at(2000));
-        seen[1] = held(&mirror);
+        observed[1] = is_present(&mirror);
         mirror.expire(at(11_000));
-        seen[2] = held(&mirror);
-        assert_eq!(seen, case.held, "{}", case.name);
+        observed[2] = is_present(&mirror);
+        assert_eq!(observed, case.is_present, "{}", case.name);
     }
 }
 
 #[test]
-fn an_answer_from_before_a_restore_changes_nothing() {
+fn an_update_from_before_a_restore_changes_nothing() {
     let mut mirror = StoreMirror::default();
     let steady = StoreHealth::Steady;
     mirror.apply(at(0), vec![StoreEvent::Put(item("a", order(2, 4)))], steady);
@@ -357,39 +359,39 @@
     assert_eq!(mirror.revision(), order(2, 4));
 }
 
-struct LackedCase {
+struct MissingCase {
     name: &'static str,
     key: &'static str,
-    /// Era in which the store answers without the key, after an outage.
+    /// Era in which the store is read without the key after an outage.
     era: u16,
-    /// Times after which the key is still held.
-    held_ms: u64,
-    gone_ms: u64,
+    /// Times after which the key is still present, and has been removed.
+    present_ms: u64,
+    removed_ms: u64,
 }
 
 #[test]
-fn what_the_operator_wrote_outlasts_a_restore() {
+fn items_of_the_operator_are_kept_longer_after_a_restore() {
     let cases = [
-        LackedCase {
-            name: "the operator's, restored",
+        MissingCase {
+            name: "an operator item, restored store",
             key: "op/a",
             era: 2,
-            held_ms: 9900,
-            gone_ms: 10_000,
+            present_ms: 9900,
+            removed_ms: 10_000,
         },
-        LackedCase {
-            name: "the operator's, lapsed or deleted in an outage",
+        MissingCase {
+            name: "an operator item, expired or deleted during an outage",
             key: "op/a",
             era: 1,
-            held_ms: 2400,
-            gone_ms: 2500,
+            present_ms: 2400,
+            removed_ms: 2500,
         },
-        LackedCase {
-            name: "a server's, restored",
+        MissingCase {
+            name: "a server item, restored store",
             key: "s/a",
             era: 2,
-            held_ms: 2400,
-            gone_ms: 2500,
+            present_ms: 2400,
+            removed_ms: 2500,
         },
     ];
     for case in &cases {
@@ -398,20 +400,20 @@
         mirror.apply(at(0), written, StoreHealth::Steady);
         let position = order(case.era, 9);
         mirror.replace(at(1000), "", Vec::new(), position, StoreHealth::Returned);
-        let is_held = |mirror: &mut StoreMirror, ms| {
+        let is_present = |mirror: &mut StoreMirror, ms| {
             mirror.expire(at(1000 + ms));
             mirror.item_revision(case.key).is_some()
         };
-        assert!(is_held(&mut mirror, case.held_ms), "{}", case.name);
-        assert!(!is_held(&mut mirror, case.gone_ms), "{}", case.name);
+        assert!(is_present(&mut mirror, case.present_ms), "{}", case.name);
+        assert!(!is_present(&mut mirror, case.removed_ms), "{}", case.name);
     }
 }
 
 #[test]
-fn a_copy_from_before_a_restore_is_past() {
+fn a_copy_from_before_a_restore_is_of_a_past_era() {
     let mut mirror = StoreMirror::default();
-    let held = vec![StoreEvent::Put(item("a", order(2, 4)))];
-    mirror.apply(at(0), held, StoreHealth::Steady);
+    let items = vec![StoreEvent::Put(item("a", order(2, 4)))];
+    mirror.apply(at(0), items, StoreHealth::Steady);
     for (other, is_past) in [
         (order(1, 900), true),
         (order(2, 1), false),
--- a/crates/fleet/tests/quota.rs
+++ b/crates/fleet/tests/quota.rs
@@ -1,7 +1,8 @@
-//! Limits of teams under load: what a fleet of VMs admits that tell each other late.
+//! Team quotas under load: requests admitted by a fleet of VMs that exchange demand with a
+//! delay.
 //!
-//! Virtual time; VMs meet callers by chance, near sums are known 0.15 s late and words of
-//! other regions 0.25 to 0.65 s late.
+//! The test runs in virtual time. Requests arrive at random VMs, sums of the own region are
+//! 0.15 s old, and reports of other regions 0.25 to 0.65 s.
 
 use std::collections::VecDeque;
 use std::fmt::Write as _;
@@ -17,33 +18,35 @@
 use rand::{Rng, SeedableRng};
 
 const TEAM: u32 = 7;
-/// Time from the start of the VMs to that of their callers.
+/// Time from the start of the VMs to the first request.
 const LEAD: Duration = Duration::from_secs(14);
 const STEP: Duration = Duration::from_millis(10);
-const NEAR_LAG: usize = 15;
-const FAR_LAG: usize = 25;
-const FAR_EVERY: usize = 40;
+/// Steps by which sums of the own region lag.
+const PEER_LAG: usize = 15;
+/// Steps by which reports of other regions lag, and between two of them.
+const REMOTE_LAG: usize = 25;
+const REMOTE_INTERVAL: usize = 40;
 const WINDOW_STEPS: usize = 800;
-const DAY_STEPS: usize = 2800;
-/// Tokens of a long and of a short request, and how many are long.
+const RUN_STEPS: usize = 2800;
+/// Tokens of a long and of a short request, and the fraction of long ones.
 const LONG: f64 = 12_400.0;
 const SHORT: f64 = 2400.0;
-const LONG_PART: f64 = 0.19;
-/// What a team asks for usually, as a part of its limit.
+const LONG_FRACTION: f64 = 0.19;
+/// Normal demand of a team, as a fraction of its quota.
 const USUAL: f64 = 0.55;
 
-/// What befalls the fleet.
+/// Fault that is injected into the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trouble {
+enum Fault {
     None,
-    /// Regions do not hear each other from 4 to 12 s.
-    RegionsCut,
-    /// Each VM hears nobody from 4 to 12 s.
-    AllAlone,
-    /// Every VM starts anew at 8 s.
-    PowerLost,
-    /// All callers turn to one region at 6 s.
-    Shift,
+    /// Regions receive nothing from each other from 4 to 12 s.
+    RegionsPartitioned,
+    /// VMs receive nothing from any other VM from 4 to 12 s.
+    VmsIsolated,
+    /// All VMs restart at 8 s.
+    PowerLoss,
+    /// All callers switch to one region at 6 s.
+    TrafficShift,
 }
 
 struct QuotaCase {
@@ -51,25 +54,25 @@
     /// Tokens a second.
     rate: f64,
     vms: usize,
-    /// Times the usual that is asked for from 6 to 12.5 s.
-    flood: f64,
-    trouble: Trouble,
+    /// Demand from 6 to 12.5 s, as a multiple of the normal demand.
+    surge: f64,
+    fault: Fault,
 }
 
 impl QuotaCase {
-    /// Whether a flood meets VMs or regions that do not hear each other, or is so strong
-    /// that more is admitted before it is known than a bucket has in reserve.
+    /// Whether a surge occurs while VMs or regions are partitioned, or is so strong that more
+    /// is admitted before it is detected than a bucket has in reserve.
     fn is_extreme(&self) -> bool {
-        let apart = matches!(self.trouble, Trouble::RegionsCut | Trouble::AllAlone);
-        self.flood > 9.0 || (self.flood > 1.0 && apart)
+        let is_partitioned = matches!(self.fault, Fault::RegionsPartitioned | Fault::VmsIsolated);
+        self.surge > 9.0 || (self.surge > 1.0 && is_partitioned)
     }
 }
 
 impl QuotaCase {
-    /// Part of what is below the limit that may be refused: after a loss of all power, a
-    /// small team's requests are few and large, and look like a flood now and then.
-    fn most_refused(&self) -> f64 {
-        if self.trouble == Trouble::PowerLost {
+    /// Largest fraction of requests within the quota that may be refused. After a power loss,
+    /// the few and large requests of a small team occasionally look like a surge.
+    fn max_refused(&self) -> f64 {
+        if self.fault == Fault::PowerLoss {
             0.04
         } else {
             0.01
@@ -88,19 +91,19 @@
     tables: Vec<QuotaTable>,
     regions: Vec<RegionName>,
     rng: StdRng,
-    /// Demand of each VM, newest last.
-    told: VecDeque<Vec<f64>>,
+    /// Past demand of each VM, newest last.
+    history: VecDeque<Vec<f64>>,
 }
 
-/// What a day brought.
+/// Results of one run.
 #[derive(Default)]
-struct DayFigures {
-    /// Most that a window holds, relative to what may run in it.
+struct RunResults {
+    /// Largest usage of a window, relative to what is allowed.
     worst_window: f64,
-    /// Part of the requests refused before the flood, and after it has drained.
+    /// Fraction of requests refused before the surge and after it has drained.
     refused_calm: f64,
-    /// Tokens admitted during the flood, relative to the limit.
-    used_in_flood: f64,
+    /// Tokens admitted during the surge, relative to the quota.
+    used_in_surge: f64,
 }
 
 impl Fleet {
@@ -110,7 +113,7 @@
             tables: Vec::new(),
             regions: names.iter().map(|name| name.parse().unwrap()).collect(),
             rng: StdRng::seed_from_u64(seed),
-            told: VecDeque::new(),
+            history: VecDeque::new(),
         };
         let start = Moment::ZERO;
         fleet.tables = (0..case.vms)
@@ -139,43 +142,54 @@
         vm % self.regions.len()
     }
 
-    /// Tells sums and words as old as they would be.
-    fn tell(&mut self, case: &QuotaCase, step: usize) {
+    /// Delivers sums and reports with their delays.
+    fn exchange(&mut self, case: &QuotaCase, step: usize) {
         let now = at(step);
         let demands = self.tables.iter().map(|table| {
             let mut own = table.own_demand(now);
             own.next().map_or(0.0, |(_, demand)| demand)
         });
-        self.told.push_back(demands.collect());
-        if self.told.len() > FAR_LAG + 1 {
-            self.told.pop_front();
+        self.history.push_back(demands.collect());
+        if self.history.len() > REMOTE_LAG + 1 {
+            self.history.pop_front();
         }
-        let is_cut = (400..1200).contains(&step);
-        let alone = is_cut && case.trouble == Trouble::AllAlone;
-        let apart = is_cut && case.trouble == Trouble::RegionsCut;
+        let is_fault = (400..1200).contains(&step);
+        let is_isolated = is_fault && case.fault == Fault::VmsIsolated;
+        let is_cut = is_fault && case.fault == Fault::RegionsPartitioned;
         if step.is_multiple_of(10) {
             self.tables.iter_mut().for_each(|table| table.tick(now));
         }
-        let peers = self.peers(case, if alone { 3.0 / case.vms as f64 } else { 1.0 });
-        if let Some(near) = self.told.len().checked_sub(NEAR_LAG + 1) {
-            let near = self.told[near].clone();
-            let sums = self.region_sums(&near);
+        let peers = self.peers(
+            case,
+            if is_isolated {
+                3.0 / case.vms as f64
+            } else {
+                1.0
+            },
+        );
+        if let Some(peers_at) = self.history.len().checked_sub(PEER_LAG + 1) {
+            let demands = self.history[peers_at].clone();
+            let sums = self.region_sums(&demands);
             for vm in 0..case.vms {
-                let others = sums[self.region_of(vm)] - near[vm];
+                let others = sums[self.region_of(vm)] - demands[vm];
                 self.tables[vm].set_peers(peers);
-                self.tables[vm].set_peer_demand(now, TEAM, if alone { 0.0 } else { others });
+                self.tables[vm].set_peer_demand(now, TEAM, if is_isolated { 0.0 } else { others });
             }
         }
-        if !step.is_multiple_of(FAR_EVERY) || self.told.len() <= FAR_LAG || alone || apart {
+        if !step.is_multiple_of(REMOTE_INTERVAL)
+            || self.history.len() <= REMOTE_LAG
+            || is_isolated
+            || is_cut
+        {
             return;
         }
-        for (region, sum) in self.region_sums(&self.told[0]).into_iter().enumerate() {
-            let said = at(step - FAR_LAG);
+        for (region, sum) in self.region_sums(&self.history[0]).into_iter().enumerate() {
+            let sent = at(step - REMOTE_LAG);
             for vm in 0..case.vms {
                 if self.region_of(vm) == region {
                     continue;
                 }
-                self.tables[vm].hear(said, &self.regions[region], &[(TEAM, sum)]);
+                self.tables[vm].receive(sent, &self.regions[region], &[(TEAM, sum)]);
             }
         }
     }
@@ -188,31 +202,31 @@
         sums
     }
 
-    fn play(&mut self, case: &QuotaCase, way: QuotaMode) -> DayFigures {
-        let mean = LONG_PART * LONG + (1.0 - LONG_PART) * SHORT;
+    fn run(&mut self, case: &QuotaCase, way: QuotaMode) -> RunResults {
+        let mean = LONG_FRACTION * LONG + (1.0 - LONG_FRACTION) * SHORT;
         let mut admitted: Vec<f64> = Vec::new();
         let (mut calm, mut refused) = (0.0, 0.0);
-        for step in 0..DAY_STEPS {
-            if case.trouble == Trouble::PowerLost && step == 800 {
+        for step in 0..RUN_STEPS {
+            if case.fault == Fault::PowerLoss && step == 800 {
                 self.tables = (0..case.vms)
                     .map(|_| self.table(case, way, at(step)))
                     .collect();
-                self.told.clear();
+                self.history.clear();
             }
-            self.tell(case, step);
+            self.exchange(case, step);
             let mut admitted_now = 0.0;
-            let is_flood = (600..1250).contains(&step);
-            let times = if is_flood { case.flood } else { 1.0 };
+            let is_surge = (600..1250).contains(&step);
+            let times = if is_surge { case.surge } else { 1.0 };
             let expected = case.rate * USUAL * times / mean * STEP.as_secs_f64();
             for _ in 0..self.draw_count(expected) {
                 let vm = self.draw_vm(case, step);
-                let is_long = self.rng.random_bool(LONG_PART);
+                let is_long = self.rng.random_bool(LONG_FRACTION);
                 let size = if is_long { LONG } else { SHORT } * self.rng.random_range(0.2..1.8);
                 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
                 let cost = size as u64;
                 let table = &mut self.tables[vm];
                 let decision = table.admit(at(step), TEAM, cost, &mut self.rng);
-                let is_calm = case.flood <= 1.0 || !(600..=1700).contains(&step);
+                let is_calm = case.surge <= 1.0 || !(600..=1700).contains(&step);
                 calm += f64::from(u8::from(is_calm));
                 match decision {
                     QuotaDecision::Admitted => admitted_now += size,
@@ -226,14 +240,14 @@
         let worst = windows
             .map(|window| window.iter().sum::<f64>())
             .fold(0.0, f64::max);
-        DayFigures {
+        RunResults {
             worst_window: worst / allowed,
             refused_calm: refused / calm,
-            used_in_flood: admitted[600..1250].iter().sum::<f64>() / (6.5 * case.rate),
+            used_in_surge: admitted[600..1250].iter().sum::<f64>() / (6.5 * case.rate),
         }
     }
 
-    /// As many as come by chance where `expected` come in the mean.
+    /// Draws from a Poisson distribution with mean `expected`.
     fn draw_count(&mut self, expected: f64) -> usize {
         let (mut product, mut count) = (self.rng.random::<f64>(), 0);
         while product > (-expected).exp() {
@@ -245,7 +259,7 @@
 
     fn draw_vm(&mut self, case: &QuotaCase, step: usize) -> usize {
         let vm = self.rng.random_range(0..case.vms);
-        if case.trouble == Trouble::Shift && step >= 600 {
+        if case.fault == Fault::TrafficShift && step >= 600 {
             return vm - self.region_of(vm);
         }
         vm
@@ -265,74 +279,74 @@
 }
 
 fn cases() -> Vec<QuotaCase> {
-    let case = |name, rate, vms, flood, trouble| QuotaCase {
+    let case = |name, rate, vms, surge, fault| QuotaCase {
         name,
         rate,
         vms,
-        flood,
-        trouble,
+        surge,
+        fault,
     };
     vec![
-        case("small, usual", 36_000.0, 66, 1.0, Trouble::None),
-        case("large, usual", 2e6, 66, 1.0, Trouble::None),
-        case("small, x 7.5", 36_000.0, 66, 7.5, Trouble::None),
-        case("middle, x 7.5", 400_000.0, 66, 7.5, Trouble::None),
-        case("large, x 7.5", 2e6, 66, 7.5, Trouble::None),
-        case("large, x 9", 2e6, 66, 9.0, Trouble::None),
-        case("large, x 12", 2e6, 66, 12.0, Trouble::None),
-        case("large, x 7.5, 6 VMs", 2e6, 6, 7.5, Trouble::None),
-        case("large, x 7.5, 294 VMs", 2e6, 294, 7.5, Trouble::None),
+        case("small, normal", 36_000.0, 66, 1.0, Fault::None),
+        case("large, normal", 2e6, 66, 1.0, Fault::None),
+        case("small, x 7.5", 36_000.0, 66, 7.5, Fault::None),
+        case("middle, x 7.5", 400_000.0, 66, 7.5, Fault::None),
+        case("large, x 7.5", 2e6, 66, 7.5, Fault::None),
+        case("large, x 9", 2e6, 66, 9.0, Fault::None),
+        case("large, x 12", 2e6, 66, 12.0, Fault::None),
+        case("large, x 7.5, 6 VMs", 2e6, 6, 7.5, Fault::None),
+        case("large, x 7.5, 294 VMs", 2e6, 294, 7.5, Fault::None),
+        case("large, traffic shift", 2e6, 66, 1.0, Fault::TrafficShift),
         case(
-            "large, all turn to one region",
-            2e6,
-            66,
-            1.0,
-            Trouble::Shift,
-        ),
-        case(
-            "small, all turn to one region",
+            "small, traffic shift",
             36_000.0,
             66,
             1.0,
-            Trouble::Shift,
+            Fault::TrafficShift,
         ),
-        case("large, regions cut", 2e6, 66, 1.0, Trouble::RegionsCut),
+        case("large, partition", 2e6, 66, 1.0, Fault::RegionsPartitioned),
         case(
-            "large, x 7.5, regions cut",
+            "large, x 7.5, partition",
             2e6,
             66,
             7.5,
-            Trouble::RegionsCut,
+            Fault::RegionsPartitioned,
         ),
         case(
-            "small, x 7.5, regions cut",
+            "small, x 7.5, partition",
             36_000.0,
             66,
             7.5,
-            Trouble::RegionsCut,
+            Fault::RegionsPartitioned,
+        ),
+        case(
+            "large, x 7.5, VMs isolated",
+            2e6,
+            66,
+            7.5,
+            Fault::VmsIsolated,
         ),
-        case("large, x 7.5, VMs alone", 2e6, 66, 7.5, Trouble::AllAlone),
-        case("large, power lost", 2e6, 66, 1.0, Trouble::PowerLost),
-        case("small, power lost", 36_000.0, 66, 1.0, Trouble::PowerLost),
-        case("large, x 7.5, power lost", 2e6, 66, 7.5, Trouble::PowerLost),
+        case("large, power loss", 2e6, 66, 1.0, Fault::PowerLoss),
+        case("small, power loss", 36_000.0, 66, 1.0, Fault::PowerLoss),
+        case("large, x 7.5, power loss", 2e6, 66, 7.5, Fault::PowerLoss),
     ]
 }
 
-/// Worst window relative to what may run in it (above 100: the limit is broken), refused
-/// of what is below the limit, and what is admitted in the flood relative to the limit;
-/// the worst, the mean and the mean of three seeds, in percent.
+/// The table shows in percent: the worst window relative to what is allowed (above 100, the
+/// quota is violated), the refused requests within the quota, and the tokens admitted in the
+/// surge relative to the quota. Of three seeds, the first is the worst, the others are means.
 #[test]
-fn a_flood_is_cut_to_the_limit_and_nothing_below_it_is_refused() {
+fn a_surge_is_limited_to_the_quota_and_requests_within_it_are_admitted() {
     let mut table = String::new();
     for way in [QuotaMode::EqualParts, QuotaMode::Pooled] {
-        let _ = writeln!(table, "{way:<31} window refused flood");
+        let _ = writeln!(table, "{way:<31} window refused surge");
         for case in cases() {
-            let mut worst = DayFigures::default();
+            let mut worst = RunResults::default();
             for seed in [1, 2, 3] {
-                let day = Fleet::new(&case, way, seed).play(&case, way);
-                worst.worst_window = worst.worst_window.max(day.worst_window);
-                worst.refused_calm += day.refused_calm / 3.0;
-                worst.used_in_flood += day.used_in_flood / 3.0;
+                let run = Fleet::new(&case, way, seed).run(&case, way);
+                worst.worst_window = worst.worst_window.max(run.worst_window);
+                worst.refused_calm += run.refused_calm / 3.0;
+                worst.used_in_surge += run.used_in_surge / 3.0;
             }
             let _ = writeln!(
                 table,
@@ -340,19 +354,19 @@
                 case.name,
                 worst.worst_window * 1e2,
                 worst.refused_calm * 1e2,
-                worst.used_in_flood * 1e2,
+                worst.used_in_surge * 1e2,
             );
             if way == QuotaMode::Pooled && !case.is_extreme() {
                 assert!(worst.worst_window <= 1.0, "{}: {table}", case.name);
-                let most = case.most_refused();
-                assert!(worst.refused_calm < most, "{}: {table}", case.name);
+                let limit = case.max_refused();
+                assert!(worst.refused_calm < limit, "{}: {table}", case.name);
             }
         }
     }
     expect![[r"
-        equal-parts window refused flood
-        small, usual                       42   17.99     42
-        large, usual                       42    8.70     49
+        equal-parts window refused surge
+        small, normal                      42   17.99     42
+        large, normal                      42    8.70     49
         small, x 7.5                       96   26.96    184
         middle, x 7.5                      73   24.25    103
         large, x 7.5                       77    8.38    107
@@ -360,18 +374,18 @@
         large, x 12                        78    8.26    107
         large, x 7.5, 6 VMs                80    0.01    108
         large, x 7.5, 294 VMs              73   21.79    101
-        large, all turn to one region      37   29.53     32
-        small, all turn to one region      37   34.26     28
-        large, regions cut                 42    8.70     49
-        large, x 7.5, regions cut          77    8.38    107
-        small, x 7.5, regions cut          96   26.96    184
-        large, x 7.5, VMs alone            77    8.38    107
-        large, power lost                  42    8.58     49
-        small, power lost                  43   13.88     45
-        large, x 7.5, power lost           82    8.71    114
-        pooled window refused flood
-        small, usual                       47    0.00     49
-        large, usual                       48    0.00     56
+        large, traffic shift               37   29.53     32
+        small, traffic shift               37   34.26     28
+        large, partition                   42    8.70     49
+        large, x 7.5, partition            77    8.38    107
+        small, x 7.5, partition            96   26.96    184
+        large, x 7.5, VMs isolated         77    8.38    107
+        large, power loss                  42    8.58     49
+        small, power loss                  43   13.88     45
+        large, x 7.5, power loss           82    8.71    114
+        pooled window refused surge
+        small, normal                      47    0.00     49
+        large, normal                      48    0.00     56
         small, x 7.5                       93    0.00    177
         middle, x 7.5                     100    0.00    135
         large, x 7.5                       95    0.00    131
@@ -379,15 +393,15 @@
         large, x 12                       105    0.00    147
         large, x 7.5, 6 VMs                96    0.00    131
         large, x 7.5, 294 VMs              97    0.00    134
-        large, all turn to one region      48    0.00     56
-        small, all turn to one region      47    0.00     49
-        large, regions cut                 48    0.00     56
-        large, x 7.5, regions cut          95    0.00    129
-        small, x 7.5, regions cut         136    0.87    194
-        large, x 7.5, VMs alone            55    2.02     74
-        large, power lost                  48    0.12     56
-        small, power lost                  47    3.56     36
-        large, x 7.5, power lost           98    0.00    135
+        large, traffic shift               48    0.00     56
+        small, traffic shift               47    0.00     49
+        large, partition                   48    0.00     56
+        large, x 7.5, partition            95    0.00    129
+        small, x 7.5, partition           136    0.87    194
+        large, x 7.5, VMs isolated         55    2.02     74
+        large, power loss                  48    0.12     56
+        small, power loss                  47    3.56     36
+        large, x 7.5, power loss           98    0.00    135
     "]]
     .assert_eq(&table);
 }
--- a/crates/fleet/tests/shares.rs
+++ b/crates/fleet/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Limits that all VMs share are never exceeded in sum, whatever each VM sees.
+//! Limits that all VMs share are not exceeded in sum, whichever other VMs each one sees.
 
 mod support;
 
@@ -16,9 +16,8 @@
 use support::{at, place, ready_server};
 
 const WINDOW: Duration = Duration::from_secs(10);
-/// What the platform allows a cold server beyond its rate in one second: half of
-/// the rate and three requests.
-const COLD_OVER: f64 = 1.5;
+/// Requests that a cold server may get in one second: 1.5 times its rate, and three.
+const COLD_FACTOR: f64 = 1.5;
 const COLD_SLACK: f64 = 3.0;
 
 fn vm(number: usize) -> VmName {
@@ -26,10 +25,10 @@
 }
 
 proptest! {
-    /// Repeats of all VMs in any window, against firsts of all VMs in it or in the
-    /// windows before, with VMs that know too few others.
+    /// Retries of all VMs in any window stay within the budget of first attempts of all VMs,
+    /// even if VMs know too few others.
     #[test]
-    fn repeats_stay_within_the_budget(
+    fn retries_stay_within_the_budget(
         vms in 1_usize..12,
         missed in 0_usize..3,
         extra in 0_u32..200,
@@ -38,7 +37,7 @@
         let limits = BudgetLimits { ratio: 0.2, extra: f64::from(extra), window: WINDOW };
         let mut shares = vec![RetryShare::default(); vms];
         let known = vms.saturating_sub(missed).max(1);
-        let (mut now, mut firsts, mut repeats) = (0, Vec::new(), Vec::new());
+        let (mut now, mut firsts, mut retries) = (0, Vec::new(), Vec::new());
         for (pause, who, is_first) in steps {
             now += pause;
             let share = &mut shares[who % vms];
@@ -46,25 +45,25 @@
                 share.note_first(at(now));
                 firsts.push(now);
             } else if share.try_repeat(at(now), &limits, Some(known)) {
-                repeats.push(now);
+                retries.push(now);
             }
         }
         let window = u64::try_from(WINDOW.as_millis()).unwrap();
         let within = |times: &[u64], end: u64| {
             times.iter().filter(|time| **time <= end && **time + window >= end).count() as f64
         };
-        // Views that miss VMs overdraw the fixed part by their number at most;
-        // the part of the budget that is left unused covers one in five.
-        let overdrawn = (vms as f64 / known as f64).max(1.0);
-        for end in &repeats {
-            let allowed = limits.ratio * within(&firsts, *end) + limits.extra * overdrawn;
-            prop_assert!(within(&repeats, *end) <= allowed.max(0.0));
+        // VMs that do not see some others exceed the fixed part at most by the ratio of these;
+        // the unused part of the budget covers one in five.
+        let excess = (vms as f64 / known as f64).max(1.0);
+        for end in &retries {
+            let allowed = limits.ratio * within(&firsts, *end) + limits.extra * excess;
+            prop_assert!(within(&retries, *end) <= allowed.max(0.0));
         }
     }
 
-    /// VMs that do not know the others yet take nothing of the part that all share.
+    /// VMs that do not know the others yet use nothing of the part that all VMs share.
     #[test]
-    fn a_vm_that_knows_no_other_spends_its_own_part_only(
+    fn a_vm_that_knows_no_others_uses_only_its_own_part(
         extra in 0_u32..2000,
         firsts in 0_usize..100,
         tries in 0_usize..100,
@@ -72,14 +71,14 @@
         let limits = BudgetLimits { ratio: 0.2, extra: f64::from(extra), window: WINDOW };
         let mut share = RetryShare::default();
         (0..firsts).for_each(|_| share.note_first(at(0)));
-        let repeats = (0..tries).filter(|_| share.try_repeat(at(1), &limits, None)).count();
-        prop_assert!(repeats as f64 <= limits.ratio * firsts as f64);
+        let retries = (0..tries).filter(|_| share.try_repeat(at(1), &limits, None)).count();
+        prop_assert!(retries as f64 <= limits.ratio * firsts as f64);
     }
 
-    /// Arrivals at a cold server in one second stay within its bound while at
-    /// most one VM beyond the senders takes itself for one.
+    /// Arrivals at a cold server in one second stay within its limit while at most one VM too
+    /// many acts as a sender.
     #[test]
-    fn a_cold_server_is_spared(
+    fn a_cold_server_is_not_overloaded(
         rate in 1.0_f64..20.0,
         vms in 1_usize..9,
         hidden in 0_usize..9,
@@ -107,17 +106,16 @@
                 arrivals += u32::from(share.try_take(at(ms)));
             }
         }
-        prop_assert!(f64::from(arrivals) <= rate * COLD_OVER + COLD_SLACK);
+        prop_assert!(f64::from(arrivals) <= rate * COLD_FACTOR + COLD_SLACK);
     }
 }
 
-/// Where a region comes back with power, its VMs start together, and each knows nobody for
-/// its first tenths of a second: all of them take themselves for senders.
-///
-/// Seen once: all eighteen VMs of a region started within 0.7 s, and a server that had
-/// come back cold got 9 requests in one second, 0.3 s after the first VM; 8.2 are allowed.
+/// Guards against overloading a cold server after a power loss. VMs of a region that start
+/// together know no other VMs for some tenths of a second, so all of them could act as senders.
+/// When 18 VMs of a region started within 0.7 s, a cold server got 9 requests in one second,
+/// 0.3 s after the first VM; 8.2 are allowed.
 #[test]
-fn vms_that_start_together_spare_a_cold_server() {
+fn vms_that_start_together_do_not_overload_a_cold_server() {
     const VMS: usize = 18;
     const RATE: f64 = 3.5;
     let server: ServerName = "s".parse().unwrap();
@@ -131,11 +129,11 @@
             arrivals += u32::from(share.try_take(at(ms)));
         }
     }
-    let allowed = RATE * COLD_OVER + COLD_SLACK;
+    let allowed = RATE * COLD_FACTOR + COLD_SLACK;
     assert!(f64::from(arrivals) <= allowed, "{arrivals} arrivals");
 }
 
-/// What a region's only VM may send to a cold server.
+/// The only VM of a region sends to a cold server once it knows that it is alone.
 #[test]
 fn only_a_vm_that_is_known_to_be_alone_sends_to_a_cold_server() {
     for (is_alone, sends) in [(false, false), (true, true)] {
--- a/crates/fleet/tests/words.rs
+++ b/crates/fleet/tests/signals.rs
@@ -1,5 +1,5 @@
-//! What servers say of themselves in answers: leaving holds for the rest of a life, rest
-//! until its end, and neither for another life.
+//! Signals of servers in response headers: draining holds for the rest of an instance, a
+//! backoff until its end, and neither for another instance.
 
 mod support;
 
@@ -43,14 +43,14 @@
     }
 }
 
-fn leaving() -> ServerSignals {
+fn draining() -> ServerSignals {
     ServerSignals {
         is_leaving: true,
         ..ServerSignals::default()
     }
 }
 
-fn rest(millis: u64) -> ServerSignals {
+fn backoff(millis: u64) -> ServerSignals {
     ServerSignals {
         rest: BackoffSignal::For(Duration::from_millis(millis)),
         ..ServerSignals::default()
@@ -61,91 +61,91 @@
     fleet.choose(now, &needs(), &[], &mut StdRng::seed_from_u64(1))
 }
 
-/// Something that happens to a server named `s`; words are on the life that was known
-/// under the name when `Sent` was last done.
+/// Event of a server named `s`. Signals are applied to the instance that was known under the
+/// name at the last `Sent`.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Put(u64),
     Remove,
     Sent,
-    Leave,
-    Rest(u64),
+    Drain,
+    Backoff(u64),
 }
 
-struct WordCase {
+struct SignalCase {
     name: &'static str,
     steps: &'static [Step],
-    /// Whether the life that is known at the end may be sent to, now and at these moments.
+    /// Whether the instance known at the end may be sent to, by milliseconds since the start.
     may_send: &'static [(u64, bool)],
 }
 
 #[test]
-fn words_hold_for_their_life() {
-    use Step::{Leave, Put, Remove, Rest, Sent};
+fn signals_hold_for_their_instance() {
+    use Step::{Backoff, Drain, Put, Remove, Sent};
     let cases = [
-        WordCase {
-            name: "leaving does not end",
-            steps: &[Put(5), Sent, Leave],
+        SignalCase {
+            name: "draining does not end",
+            steps: &[Put(5), Sent, Drain],
             may_send: &[(0, false), (HOUR_MS, false)],
         },
-        WordCase {
+        SignalCase {
             name: "the entry is written again",
-            steps: &[Put(5), Sent, Leave, Put(5)],
+            steps: &[Put(5), Sent, Drain, Put(5)],
             may_send: &[(0, false)],
         },
-        WordCase {
-            name: "the entry lapses and is back",
-            steps: &[Put(5), Sent, Leave, Remove, Put(5), Remove, Put(5)],
+        SignalCase {
+            name: "the entry expires and is written again",
+            steps: &[Put(5), Sent, Drain, Remove, Put(5), Remove, Put(5)],
             may_send: &[(0, false)],
         },
-        WordCase {
-            name: "the word comes after the entry has lapsed",
-            steps: &[Put(5), Sent, Remove, Leave, Put(5)],
+        SignalCase {
+            name: "the signal arrives after the entry has expired",
+            steps: &[Put(5), Sent, Remove, Drain, Put(5)],
             may_send: &[(0, false)],
         },
-        WordCase {
-            name: "the word comes after the entry is back",
-            steps: &[Put(5), Sent, Remove, Put(5), Leave],
+        SignalCase {
+            name: "the signal arrives after the entry is back",
+            steps: &[Put(5), Sent, Remove, Put(5), Drain],
             may_send: &[(0, false)],
         },
-        WordCase {
-            name: "an entry of an earlier life comes late",
-            steps: &[Put(5), Sent, Leave, Put(4)],
+        SignalCase {
+            name: "an entry of an earlier instance arrives late",
+            steps: &[Put(5), Sent, Drain, Put(4)],
             may_send: &[(0, false)],
         },
-        WordCase {
-            name: "a later life does not leave",
-            steps: &[Put(5), Sent, Leave, Put(60_000)],
+        SignalCase {
+            name: "a later instance is not draining",
+            steps: &[Put(5), Sent, Drain, Put(60_000)],
             may_send: &[(0, true)],
         },
-        WordCase {
-            name: "the word of the earlier life is read late",
-            steps: &[Put(5), Sent, Put(60_000), Leave, Rest(1000)],
+        SignalCase {
+            name: "a signal of the earlier instance is read late",
+            steps: &[Put(5), Sent, Put(60_000), Drain, Backoff(1000)],
             may_send: &[(0, true)],
         },
-        WordCase {
-            name: "rest ends",
-            steps: &[Put(5), Sent, Rest(1000)],
+        SignalCase {
+            name: "a backoff ends",
+            steps: &[Put(5), Sent, Backoff(1000)],
             may_send: &[(0, false), (999, false), (1000, true)],
         },
-        WordCase {
-            name: "a shorter time takes nothing from a longer one",
-            steps: &[Put(5), Sent, Rest(1000), Rest(10)],
+        SignalCase {
+            name: "a shorter backoff does not shorten a longer one",
+            steps: &[Put(5), Sent, Backoff(1000), Backoff(10)],
             may_send: &[(999, false), (1000, true)],
         },
-        WordCase {
-            name: "rest outlives a lapse of the entry",
-            steps: &[Put(5), Sent, Rest(1000), Remove, Put(5)],
+        SignalCase {
+            name: "a backoff outlasts the expiry of the entry",
+            steps: &[Put(5), Sent, Backoff(1000), Remove, Put(5)],
             may_send: &[(999, false), (1000, true)],
         },
-        WordCase {
-            name: "a later life is not at rest",
-            steps: &[Put(5), Sent, Rest(1000), Put(60_000)],
+        SignalCase {
+            name: "a later instance has no backoff",
+            steps: &[Put(5), Sent, Backoff(1000), Put(60_000)],
             may_send: &[(0, true)],
         },
-        WordCase {
-            name: "the longest rest is an hour",
-            steps: &[Put(5), Sent, Rest(u64::MAX)],
+        SignalCase {
+            name: "the longest backoff is an hour",
+            steps: &[Put(5), Sent, Backoff(u64::MAX)],
             may_send: &[(HOUR_MS - 1, false), (HOUR_MS, true)],
         },
     ];
@@ -157,11 +157,11 @@
                 Put(born) => fleet.put_server(at(0), record("s", born), None),
                 Remove => fleet.remove_server(at(0), "s"),
                 Sent => sent = fleet.find("s"),
-                Leave => {
-                    fleet.apply_signals(at(0), sent.unwrap(), &leaving());
+                Drain => {
+                    fleet.apply_signals(at(0), sent.unwrap(), &draining());
                 }
-                Rest(millis) => {
-                    fleet.apply_signals(at(0), sent.unwrap(), &rest(millis));
+                Backoff(millis) => {
+                    fleet.apply_signals(at(0), sent.unwrap(), &backoff(millis));
                 }
             }
         }
@@ -173,52 +173,53 @@
     }
 }
 
-/// A server that starts again under its name may answer before its entry is known: its word
-/// is then taken for the former life's. A word that was read after the later life's birth
-/// is doubtful, and keeps that life without work for a while; one that was read before is
-/// the former life's. Births count from the VM's start here.
+/// Guards against sending work to a restarted server that is draining. A server that restarts
+/// under its name may respond before its new entry is known, so its signals are recorded for
+/// the former instance. Signals that were read after the start of the later instance are
+/// ambiguous and keep it without work for a while; earlier ones belong to the former instance.
 ///
-/// The soak showed it (seed 203): a gateway whose link to the store was held heard a reborn
-/// server say that it leaves, learned of its birth half a second later, and sent it work.
+/// The soak test found it (seed 203): a gateway whose connection to the store was delayed
+/// received the draining signal, learned of the new start time 0.5 s later, and sent work.
+/// Start times here count from the start of the VM.
 #[test]
-fn a_word_that_may_be_a_later_lifes_keeps_it_without_work() {
-    struct DoubtCase {
+fn a_signal_that_may_be_of_a_later_instance_keeps_it_without_work() {
+    struct AmbiguityCase {
         name: &'static str,
-        word: ServerSignals,
-        told: u64,
+        signals: ServerSignals,
+        read: u64,
         born: u64,
         known: u64,
         may_send: &'static [(u64, bool)],
     }
     let cases = [
-        DoubtCase {
-            name: "born before the word",
-            word: leaving(),
-            told: 10_000,
+        AmbiguityCase {
+            name: "started before the signal",
+            signals: draining(),
+            read: 10_000,
             born: 9_000,
             known: 10_500,
             may_send: &[(10_500, false), (30_499, false), (30_500, true)],
         },
-        DoubtCase {
-            name: "born long after the word",
-            word: leaving(),
-            told: 10_000,
+        AmbiguityCase {
+            name: "started long after the signal",
+            signals: draining(),
+            read: 10_000,
             born: 14_000,
             known: 14_500,
             may_send: &[(14_500, true)],
         },
-        DoubtCase {
-            name: "rest asked after the birth",
-            word: rest(3000),
-            told: 10_000,
+        AmbiguityCase {
+            name: "backoff requested after the start",
+            signals: backoff(3000),
+            read: 10_000,
             born: 9_000,
             known: 10_500,
             may_send: &[(10_500, false), (12_999, false), (13_000, true)],
         },
-        DoubtCase {
-            name: "rest asked before the birth",
-            word: rest(30_000),
-            told: 10_000,
+        AmbiguityCase {
+            name: "backoff requested before the start",
+            signals: backoff(30_000),
+            read: 10_000,
             born: 14_000,
             known: 14_500,
             may_send: &[(14_500, true)],
@@ -228,7 +229,7 @@
         let mut fleet = view();
         fleet.put_server(at(0), record("s", 5), None);
         let former = fleet.find("s").unwrap();
-        fleet.apply_signals(at(case.told), former, &case.word);
+        fleet.apply_signals(at(case.read), former, &case.signals);
         fleet.put_server(at(case.known), record("s", case.born), None);
         let later = fleet.find("s").unwrap();
         for (millis, expected) in case.may_send {
@@ -239,30 +240,30 @@
 }
 
 #[test]
-fn a_word_is_news_once() {
+fn a_repeated_signal_changes_nothing() {
     let mut fleet = view();
     fleet.put_server(at(0), record("s", 5), None);
     let id = fleet.find("s").unwrap();
-    let news = |leaves, rests| SignalChanges { leaves, rests };
+    let changes = |leaves, rests| SignalChanges { leaves, rests };
     assert_eq!(
-        fleet.apply_signals(at(0), id, &leaving()),
-        news(true, false)
+        fleet.apply_signals(at(0), id, &draining()),
+        changes(true, false)
     );
     assert_eq!(
-        fleet.apply_signals(at(0), id, &leaving()),
-        news(false, false)
+        fleet.apply_signals(at(0), id, &draining()),
+        changes(false, false)
     );
     assert_eq!(
-        fleet.apply_signals(at(0), id, &rest(500)),
-        news(false, true)
+        fleet.apply_signals(at(0), id, &backoff(500)),
+        changes(false, true)
     );
     assert_eq!(
-        fleet.apply_signals(at(0), id, &rest(400)),
-        news(false, false)
+        fleet.apply_signals(at(0), id, &backoff(400)),
+        changes(false, false)
     );
     assert_eq!(
-        fleet.apply_signals(at(100), id, &rest(500)),
-        news(false, true)
+        fleet.apply_signals(at(100), id, &backoff(500)),
+        changes(false, true)
     );
     let malformed = ServerSignals {
         rest: BackoffSignal::Malformed,
@@ -270,22 +271,22 @@
     };
     assert_eq!(
         fleet.apply_signals(at(0), id, &malformed),
-        news(false, false)
+        changes(false, false)
     );
 }
 
 #[test]
-fn where_every_server_rests_the_first_end_is_told() {
+fn the_earliest_backoff_end_is_reported_if_no_server_is_free() {
     let mut fleet = view();
     for name in ["s1", "s2"] {
         fleet.put_server(at(0), record(name, 5), None);
     }
     let ids = ["s1", "s2"].map(|name| fleet.find(name).unwrap());
-    fleet.apply_signals(at(0), ids[0], &rest(3000));
+    fleet.apply_signals(at(0), ids[0], &backoff(3000));
     assert!(
         matches!(choose(&mut fleet, at(0)), LocalOption::Free(choice) if choice.server == ids[1])
     );
-    fleet.apply_signals(at(0), ids[1], &rest(2000));
+    fleet.apply_signals(at(0), ids[1], &backoff(2000));
     assert_eq!(
         choose(&mut fleet, at(100)),
         LocalOption::BackedOff(at(2000))
@@ -295,41 +296,47 @@
     assert_eq!(fleet.free_servers(at(100), &needs()).count(), 0);
 }
 
-/// After a rest one request tries; the others follow once the server has taken it.
+/// After a backoff one request probes the server; the others follow once it has responded.
 #[test]
-fn one_request_tries_a_server_that_has_rested() {
+fn one_request_probes_a_server_after_its_backoff() {
     let mut fleet = view();
     fleet.put_server(at(0), record("s", 5), None);
     let id = fleet.find("s").unwrap();
-    fleet.apply_signals(at(0), id, &rest(1000));
+    fleet.apply_signals(at(0), id, &backoff(1000));
     let is_free = |option| matches!(option, LocalOption::Free(_));
-    assert!(is_free(choose(&mut fleet, at(1000))), "the first may try");
+    assert!(
+        is_free(choose(&mut fleet, at(1000))),
+        "the first request probes"
+    );
     fleet.start_attempt(at(1000), id, 1, &needs());
     assert_eq!(
         choose(&mut fleet, at(1001)),
         LocalOption::BackedOff(at(1001)),
         "the others wait"
     );
-    assert!(fleet.may_send(at(1001), id), "the try itself may be sent");
+    assert!(fleet.may_send(at(1001), id), "the probe itself may be sent");
     fleet.note_answer(at(1010), id, 1);
-    assert!(is_free(choose(&mut fleet, at(1010))), "it is back");
+    assert!(
+        is_free(choose(&mut fleet, at(1010))),
+        "the server is available again"
+    );
 }
 
 const NAMES: [&str; 2] = ["s1", "s2"];
 
-/// What is true of a life, by everything that was ever said of it.
+/// Expected state of an instance after all signals that were applied to it.
 #[derive(Clone, Copy, Debug, Default)]
-struct TrueLife {
-    leaves: bool,
-    rests_until: u64,
+struct ExpectedInstance {
+    is_draining: bool,
+    backoff_until: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Put(usize, u64),
     Remove(usize),
-    Leave(usize),
-    Rest(usize, u64),
+    Drain(usize),
+    Backoff(usize, u64),
     Wait(u64),
 }
 
@@ -337,45 +344,45 @@
     prop_oneof![
         (0..2usize, 1..5u64).prop_map(|(name, born)| Event::Put(name, born * 10_000)),
         (0..2usize).prop_map(Event::Remove),
-        (0..2usize).prop_map(Event::Leave),
-        (0..2usize, 0..3000u64).prop_map(|(name, millis)| Event::Rest(name, millis)),
+        (0..2usize).prop_map(Event::Drain),
+        (0..2usize, 0..3000u64).prop_map(|(name, millis)| Event::Backoff(name, millis)),
         (0..15_000u64).prop_map(Event::Wait),
     ]
 }
 
 proptest! {
-    /// Whatever the order of entries, lapses, births and words, no server is chosen whose
-    /// life leaves or is at rest.
+    /// In any order of entries, expiries, restarts and signals, no server is chosen whose
+    /// instance is draining or in backoff.
     #[test]
-    fn no_history_leads_to_a_server_that_wants_no_work(
+    fn no_sequence_of_events_chooses_an_unavailable_server(
         events in proptest::collection::vec(event(), 1..40),
     ) {
         let mut fleet = view();
-        let mut lives: BTreeMap<(usize, u64), TrueLife> = BTreeMap::new();
+        let mut instances: BTreeMap<(usize, u64), ExpectedInstance> = BTreeMap::new();
         let mut now = 0;
         for event in events {
             match event {
                 Event::Put(name, born) => fleet.put_server(at(now), record(NAMES[name], born), None),
                 Event::Remove(name) => fleet.remove_server(at(now), NAMES[name]),
                 Event::Wait(millis) => now += millis,
-                Event::Leave(name) => if let Some(id) = fleet.find(NAMES[name]) {
-                    fleet.apply_signals(at(now), id, &leaving());
+                Event::Drain(name) => if let Some(id) = fleet.find(NAMES[name]) {
+                    fleet.apply_signals(at(now), id, &draining());
                     let born = fleet.server(id).record.born.millis();
-                    lives.entry((name, born)).or_default().leaves = true;
+                    instances.entry((name, born)).or_default().is_draining = true;
                 },
-                Event::Rest(name, millis) => if let Some(id) = fleet.find(NAMES[name]) {
-                    fleet.apply_signals(at(now), id, &rest(millis));
+                Event::Backoff(name, millis) => if let Some(id) = fleet.find(NAMES[name]) {
+                    fleet.apply_signals(at(now), id, &backoff(millis));
                     let born = fleet.server(id).record.born.millis();
-                    let life = lives.entry((name, born)).or_default();
-                    life.rests_until = life.rests_until.max(now + millis);
+                    let instance = instances.entry((name, born)).or_default();
+                    instance.backoff_until = instance.backoff_until.max(now + millis);
                 },
             }
             if let LocalOption::Free(choice) = choose(&mut fleet, at(now)) {
                 let chosen = &fleet.server(choice.server).record;
                 let name = NAMES.iter().position(|name| *name == chosen.name.as_str()).unwrap();
-                let life = lives.get(&(name, chosen.born.millis())).copied().unwrap_or_default();
-                prop_assert!(!life.leaves, "a leaving life was chosen");
-                prop_assert!(life.rests_until <= now, "a resting life was chosen");
+                let instance = instances.get(&(name, chosen.born.millis())).copied().unwrap_or_default();
+                prop_assert!(!instance.is_draining, "a draining instance was chosen");
+                prop_assert!(instance.backoff_until <= now, "an instance in backoff was chosen");
             }
         }
     }
--- a/crates/fleet/tests/size.rs
+++ b/crates/fleet/tests/size.rs
@@ -1,4 +1,4 @@
-//! What a VM keeps of a large fleet, and with how many servers its choices deal.
+//! Number of servers that a VM considers in its choices in a large fleet.
 
 mod support;
 
@@ -41,7 +41,7 @@
     part.wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-/// The server that a view chooses for a shared part.
+/// The server that a view chooses for a prompt with a shared part.
 fn chosen(view: &mut FleetView, part: u64) -> Option<ServerName> {
     let rng = &mut StdRng::seed_from_u64(part);
     match view.choose(at(10_000), &needs(part), &[], rng) {
@@ -50,18 +50,18 @@
     }
 }
 
-/// At twice the size no figure may be more than so many times as large.
+/// Largest growth of a figure when the size of the fleet doubles.
 const GROWTH: f64 = 1.2;
 #[test]
-fn choices_deal_with_no_more_servers_of_a_larger_fleet() {
+fn choices_consider_no_more_servers_in_a_larger_fleet() {
     let count = |near| large_view("vm0", near, 1).live().count() as f64;
-    let (once, twice) = (count(NEAR), count(NEAR * 2));
-    assert!(twice <= once * GROWTH, "{once} servers, then {twice}");
-    assert!(once < NEAR as f64 / 4.0, "{once} servers");
+    let (single, double) = (count(NEAR), count(NEAR * 2));
+    assert!(double <= single * GROWTH, "{single} servers, then {double}");
+    assert!(single < NEAR as f64 / 4.0, "{single} servers");
 }
 
 #[test]
-fn vms_that_heard_in_another_order_choose_alike() {
+fn vms_choose_alike_regardless_of_the_order_of_entries() {
     let mut first = large_view("vm0", NEAR, 1);
     let mut second = large_view("vm1", NEAR, 2);
     for part in 0..200 {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn servers_that_go_are_replaced_until_none_is_left() {
+fn removed_servers_are_replaced_until_none_is_left() {
     let mut view = large_view("vm0", 1000, 1);
     for left in (0..1000).rev() {
         let name = chosen(&mut view, 7).unwrap();
@@ -95,17 +95,17 @@
 }
 
 #[test]
-fn an_older_life_does_not_replace_a_newer_one_that_was_never_used() {
+fn an_older_instance_does_not_replace_a_newer_unused_one() {
     let mut view = FleetView::new(place("vm0", &CENTERS));
-    let born = |number: usize, millis| ServerRecord {
+    let started_at = |number: usize, millis| ServerRecord {
         born: onyxfall_fleet::StartTime::from_millis(millis),
         ..numbered_record(number, "c0")
     };
     for number in 0..2000 {
-        view.put_server(at(1), born(number, 50), None);
+        view.put_server(at(1), started_at(number, 50), None);
     }
     for number in 0..2000 {
-        let mut older = born(number, 40);
+        let mut older = started_at(number, 40);
         older.phase = onyxfall_fleet::ServerPhase::Draining { left: None };
         view.put_server(at(2), older, None);
     }
@@ -114,7 +114,7 @@
     }
     for number in 0..2000 {
         view.remove_server(at(3), &format!("i-{number:08x}"));
-        view.put_server(at(4), born(number, 40), None);
+        view.put_server(at(4), started_at(number, 40), None);
     }
-    assert_eq!(view.live().count(), 0, "the later life was known");
+    assert_eq!(view.live().count(), 0, "the later instance is known");
 }
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the fleet have in common: moments, places and servers.
+//! Helpers shared by the fleet tests: moments, locations and servers.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 
-/// A moment so many milliseconds after the start.
+/// The moment `millis` milliseconds after the start.
 pub fn at(millis: u64) -> Moment {
     Moment::from_duration(Duration::from_millis(millis))
 }
 
-/// Where a VM stands: in the first of the data centres.
+/// Location of a VM in the first of the data centres.
 pub fn place(vm: &str, centers: &[(&str, &str)]) -> VmLocation {
     let centers: Vec<_> = centers
         .iter()
@@ -32,7 +32,7 @@
     }
 }
 
-/// A server of the data centre `c0` that takes work.
+/// Server of the data centre `c0` that accepts requests.
 pub fn ready_server(name: &str) -> ServerRecord {
     ServerRecord {
         name: name.parse().unwrap(),
@@ -49,7 +49,7 @@
 
 pub const CENTERS: [(&str, &str); 3] = [("c0", "r0"), ("c1", "r1"), ("c2", "r2")];
 
-/// Servers of the largest region, and of the others together, for each of its own.
+/// Number of servers of the largest region, and the ratio of all servers to these.
 pub const NEAR: usize = 4380;
 pub const FAR_PART: usize = 2;
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// A view of so many servers of its region, and as many of the others for each.
+/// View of a region with `near` servers, and as many in the other regions together.
 pub fn large_view(vm: &str, near: usize, seed: u64) -> FleetView {
     let mut numbers: Vec<usize> = (0..near * FAR_PART).collect();
     numbers.shuffle(&mut StdRng::seed_from_u64(seed));
@@ -77,7 +77,7 @@
     view
 }
 
-/// What a plain request needs whose caller waits for long.
+/// Requirements of a plain request with a long deadline.
 pub fn needs() -> CallRequirements {
     CallRequirements {
         service: "svc".parse().unwrap(),
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt of a request: at a server of this region, or at another VM.
 //!
-//! Invariant: an attempt counts as not run only if no byte of it was written,
-//! or if the other side said so.
+//! Invariant: an attempt counts as not run only if no byte of it was written, or if the
+//! other side reports that it did not run.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,59 +20,56 @@
 
 use crate::backup::RunBackup;
 use crate::call::{CallContext, SharedCall};
-use crate::connection::{HttpConnection, LATE_DIAL_LIMIT, NEAR_DIAL_LIMIT, SendError};
+use crate::connection::{HttpConnection, LATE_DIAL_LIMIT, LOCAL_DIAL_LIMIT, SendError};
 use crate::gateway::Gateway;
 use crate::open::OpenAttempt;
 use crate::pool::ConnectionChoice;
-use crate::relay::{PeerTarget, read_verdict, set_relay_headers};
+use crate::relay::{PeerTarget, parse_verdict, set_relay_headers};
 use crate::suspension::within_deadline;
 use crate::unresponsive::{wait_for_replacement, wait_until_unresponsive};
 
-/// Largest body of a refusal that is read so that its connection can be kept.
-const REFUSAL_BODY_LIMIT: usize = 64 * 1024;
-/// Longest wait for the rest of a refusal.
-const REFUSAL_BODY_WAIT: Duration = Duration::from_millis(200);
+/// Largest body of a rejection that is drained so that its connection can be reused.
+const MAX_REJECTION_BODY: usize = 64 * 1024;
+/// Longest wait for the rest of the body of a rejection.
+const REJECTION_BODY_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A server to try.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerTarget {
-    /// The server.
+    /// Id of the server.
     pub(crate) id: ServerId,
-    /// Name of its life.
+    /// Name of the server instance.
     pub(crate) name: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub(crate) address: SocketAddr,
-    /// Expected times.
+    /// Predicted times.
     pub(crate) predicted: TimePrediction,
     /// Why it was chosen.
     pub(crate) reason: ChoiceReason,
 }
 
-/// Head of an answer, with the body still to come.
+/// Head of a response whose body is still being received.
 pub(crate) struct UpstreamResponse {
-    /// Status as sent.
     pub(crate) status: StatusCode,
-    /// Headers as sent.
     pub(crate) headers: HeaderMap,
-    /// Body.
     pub(crate) body: Incoming,
-    /// Connection that it comes on.
+    /// Connection that the response arrives on.
     pub(crate) connection: HttpConnection,
-    /// Other end of the connection.
+    /// Remote address of the connection.
     pub(crate) address: SocketAddr,
-    /// Booking of the attempt; none if another VM books it.
-    pub(crate) booking: Option<OpenAttempt>,
-    /// Events that have come so far.
+    /// Accounting of the attempt; `None` if another VM accounts for it.
+    pub(crate) attempt: Option<OpenAttempt>,
+    /// Number of events received so far.
     pub(crate) events: u32,
-    /// Where a copy of the run is kept, if anywhere.
-    pub(crate) copy: Option<RunBackup>,
+    /// Backup copy of the run, if there is one.
+    pub(crate) backup: Option<RunBackup>,
 }
 
 impl UpstreamResponse {
-    /// Books the end, and keeps the connection if the answer is whole.
+    /// Records the result, and returns the connection to the pool if the response is whole.
     pub(crate) fn finish(mut self, gateway: &Gateway, result: AttemptResult) {
-        if let Some(booking) = &mut self.booking {
-            booking.finish_stream(result, Some(self.events));
+        if let Some(attempt) = &mut self.attempt {
+            attempt.finish_stream(result, Some(self.events));
         }
         let is_whole = matches!(result, AttemptResult::Succeeded | AttemptResult::Failed);
         if is_whole {
@@ -82,20 +79,20 @@
     }
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 pub(crate) enum AttemptEnd {
-    /// An answer has begun.
-    Answer(Box<UpstreamResponse>),
-    /// It did not run and will not.
+    /// The head of a response was received.
+    Response(Box<UpstreamResponse>),
+    /// The request did not run and will not.
     NotRun {
         /// Whether the request reached a server.
         arrived: bool,
-        /// Why, for the log.
+        /// Reason, for the log.
         cause: &'static str,
     },
-    /// It may have run, and brings no answer.
+    /// The request may have run, but its response is lost.
     Lost {
-        /// Why, for the log.
+        /// Reason, for the log.
         cause: &'static str,
     },
 }
@@ -108,14 +105,14 @@
     extra: &HeaderMap,
 ) -> AttemptEnd {
     let is_from_start = extra.is_empty();
-    let mut booking = OpenAttempt::start(gateway, target.id, call, is_from_start);
-    // What goes on from a copy, or resumes, is not copied once more.
-    let copy = if is_from_start {
-        gateway.start_copy(call, target)
+    let mut attempt = OpenAttempt::start(gateway, target.id, call, is_from_start);
+    // A run that is resumed or continued from a backup is not backed up again.
+    let backup = if is_from_start {
+        gateway.reserve_backup(call, target)
     } else {
         None
     };
-    let make = || {
+    let build = || {
         let mut headers = call.headers.clone();
         headers.extend(extra.clone());
         set_expected_server(&mut headers, &target.name);
@@ -125,259 +122,260 @@
         if call.needs.engine.is_some() {
             set_urgency(&mut headers, call.needs.urgency);
         }
-        if let Some(copy) = &copy {
-            set_copy_to(&mut headers, copy.address);
+        if let Some(backup) = &backup {
+            set_copy_to(&mut headers, backup.address);
         }
         set_time_left(&mut headers, call.time_left());
-        make_request(call, headers)
+        build_request(call, headers)
     };
-    let way = ExchangeWay {
+    let destination = ExchangeTarget {
         address: target.address,
-        dial_limit: near_limit(gateway),
+        dial_limit: local_dial_limit(gateway),
         server: Some(target.id),
     };
-    let exchanged = exchange(gateway, call, &way, make);
-    // A request that may run only once waits on while the server may still answer.
+    let exchanged = exchange(gateway, call, &destination, build);
+    // A request that may run only once keeps waiting while its server may still respond.
     let exchanged = if call.rules.repeatable {
         tokio::select! {
             exchanged = exchanged => exchanged,
-            () = wait_until_unresponsive(Rc::clone(gateway), target.id) => Err(ExchangeFailure::Silent),
+            () = wait_until_unresponsive(Rc::clone(gateway), target.id) => Err(ExchangeFailure::Unresponsive),
         }
     } else {
         tokio::select! {
             exchanged = exchanged => exchanged,
-            () = wait_for_replacement(Rc::clone(gateway), target.id) => Err(ExchangeFailure::Silent),
+            () = wait_for_replacement(Rc::clone(gateway), target.id) => Err(ExchangeFailure::Unresponsive),
         }
     };
     let (connection, response) = match exchanged {
         Ok(exchanged) => exchanged,
         Err(failure) => {
-            booking.finish(failure.blame());
-            return failure.into_end();
+            attempt.finish(failure.attempt_result());
+            return failure.into_attempt_end();
         }
     };
     let kind = classify_response(response.status(), response.headers(), &call.request_id);
     if kind != ResponseKind::WrongServer {
-        let word = parse_signals(response.status(), response.headers());
-        gateway.record_signals(call, target.id, word);
+        let signals = parse_signals(response.status(), response.headers());
+        gateway.record_signals(call, target.id, signals);
         let is_own = matches!(kind, ResponseKind::Signed | ResponseKind::NotRun);
-        let sent = is_own.then(|| booking.started());
-        gateway.record_limit(target.id, word.limit, sent);
+        let sent_at = is_own.then(|| attempt.started());
+        gateway.record_limit(target.id, signals.limit, sent_at);
         gateway.record_unknown_signal_headers(response.headers());
     }
     match kind {
         ResponseKind::Signed => {
-            booking.answer();
-            let mut answer = upstream(connection, response, target.address, Some(booking));
-            answer.copy = copy;
-            AttemptEnd::Answer(Box::new(answer))
+            attempt.record_first_byte();
+            let mut upstream =
+                upstream_response(connection, response, target.address, Some(attempt));
+            upstream.backup = backup;
+            AttemptEnd::Response(Box::new(upstream))
         }
         ResponseKind::NotRun => {
-            booking.finish(AttemptResult::Shed);
-            keep_after_refusal(gateway, target.address, connection, response).await;
+            attempt.finish(AttemptResult::Shed);
+            drain_rejection(gateway, target.address, connection, response).await;
             AttemptEnd::NotRun {
                 arrived: true,
-                cause: "the server did not take it",
+                cause: "the server rejected the request",
             }
         }
         ResponseKind::WrongServer => {
-            booking.finish(AttemptResult::Unknown);
+            attempt.finish(AttemptResult::Unknown);
             gateway.record_replaced(&target.name);
             AttemptEnd::NotRun {
                 arrived: true,
-                cause: "another server has the address",
+                cause: "another server instance has the address",
             }
         }
         ResponseKind::Stray => {
-            booking.finish(AttemptResult::Broken);
+            attempt.finish(AttemptResult::Broken);
             AttemptEnd::Lost {
-                cause: "the answer is not this request's",
+                cause: "the response does not belong to this request",
             }
         }
     }
 }
 
-/// Passes a request on to a VM of another region.
+/// Forwards a request to a VM of another region.
 pub(crate) async fn try_peer(
     gateway: &Rc<Gateway>,
     call: &SharedCall,
     target: &PeerTarget,
     extra: &HeaderMap,
 ) -> AttemptEnd {
-    let make = || {
+    let build = || {
         let mut headers = call.headers.clone();
         headers.extend(extra.clone());
         set_relay_headers(&mut headers, gateway.vm(), call);
         set_time_left(&mut headers, call.time_left());
-        make_request(call, headers)
+        build_request(call, headers)
     };
-    let way = ExchangeWay {
+    let destination = ExchangeTarget {
         address: target.address,
-        dial_limit: far_limit(gateway, target),
+        dial_limit: remote_dial_limit(gateway, target),
         server: None,
     };
-    let (connection, response) = match exchange(gateway, call, &way, make).await {
+    let (connection, response) = match exchange(gateway, call, &destination, build).await {
         Ok(exchanged) => exchanged,
         Err(failure) => {
-            gateway.note_relay_failed(&target.vm);
-            return failure.into_end();
+            gateway.record_relay_failure(&target.vm);
+            return failure.into_attempt_end();
         }
     };
-    if let Some(word) = read_verdict(response.headers()) {
-        keep_after_refusal(gateway, target.address, connection, response).await;
-        return match word.verdict {
+    if let Some(peer) = parse_verdict(response.headers()) {
+        drain_rejection(gateway, target.address, connection, response).await;
+        return match peer.verdict {
             RunVerdict::NotRun => AttemptEnd::NotRun {
-                arrived: word.arrived,
-                cause: "the other region refused it",
+                arrived: peer.arrived,
+                cause: "the other region rejected the request",
             },
             RunVerdict::MayHaveRun | RunVerdict::Ran => AttemptEnd::Lost {
-                cause: "the other region lost it",
+                cause: "the other region lost the request",
             },
         };
     }
     match classify_response(response.status(), response.headers(), &call.request_id) {
-        ResponseKind::Signed => AttemptEnd::Answer(Box::new(upstream(
+        ResponseKind::Signed => AttemptEnd::Response(Box::new(upstream_response(
             connection,
             response,
             target.address,
             None,
         ))),
         _ => AttemptEnd::Lost {
-            cause: "the other region's answer is not this request's",
+            cause: "the response of the other region does not belong to this request",
         },
     }
 }
 
-/// How long to wait for a connection to a server of the region.
-fn near_limit(gateway: &Gateway) -> Duration {
+/// Dial limit for servers of this region.
+fn local_dial_limit(gateway: &Gateway) -> Duration {
     if gateway.is_on(DecisionSwitch::EarlyDial) {
-        NEAR_DIAL_LIMIT
+        LOCAL_DIAL_LIMIT
     } else {
         LATE_DIAL_LIMIT
     }
 }
 
-/// How long to wait for a connection to a VM of another region.
-fn far_limit(gateway: &Gateway, target: &PeerTarget) -> Duration {
+/// Dial limit for VMs of another region.
+fn remote_dial_limit(gateway: &Gateway, target: &PeerTarget) -> Duration {
     if gateway.is_on(DecisionSwitch::EarlyDial) {
         let limit = gateway.trips.borrow().dial_limit(Some(&target.region), 0);
-        limit.max(NEAR_DIAL_LIMIT)
+        limit.max(LOCAL_DIAL_LIMIT)
     } else {
         LATE_DIAL_LIMIT
     }
 }
 
-/// Why an exchange brought no head of an answer.
+/// Why an exchange ended without the head of a response.
 enum ExchangeFailure {
     Unreachable,
     Broken,
     TimedOut,
-    /// The server is taken for silent by all VMs.
-    Silent,
-    /// The server has said meanwhile that it wants no work.
-    Held,
+    /// All VMs treat the server as unresponsive, or it has restarted.
+    Unresponsive,
+    /// The server has asked for no work since it was chosen.
+    Declined,
 }
 
 impl ExchangeFailure {
-    fn blame(&self) -> AttemptResult {
+    fn attempt_result(&self) -> AttemptResult {
         match self {
             Self::Unreachable => AttemptResult::Unreachable,
-            Self::Broken | Self::Silent => AttemptResult::Broken,
+            Self::Broken | Self::Unresponsive => AttemptResult::Broken,
             Self::TimedOut => AttemptResult::Failed,
-            Self::Held => AttemptResult::Unknown,
+            Self::Declined => AttemptResult::Unknown,
         }
     }
 
-    fn into_end(self) -> AttemptEnd {
+    fn into_attempt_end(self) -> AttemptEnd {
         match self {
             Self::Unreachable => AttemptEnd::NotRun {
                 arrived: false,
                 cause: "no connection",
             },
             Self::Broken => AttemptEnd::Lost {
-                cause: "the connection broke",
+                cause: "the connection was lost",
             },
             Self::TimedOut => AttemptEnd::Lost {
-                cause: "no answer in time",
+                cause: "no response before the deadline",
             },
-            Self::Silent => AttemptEnd::Lost {
-                cause: "the server is silent",
+            Self::Unresponsive => AttemptEnd::Lost {
+                cause: "the server is unresponsive",
             },
-            Self::Held => AttemptEnd::NotRun {
+            Self::Declined => AttemptEnd::NotRun {
                 arrived: false,
-                cause: "the server wants no work",
+                cause: "the server is draining or in backoff",
             },
         }
     }
 }
 
-/// Where a request is sent.
-struct ExchangeWay {
+/// Destination of an exchange.
+struct ExchangeTarget {
     address: SocketAddr,
-    /// How long to wait for a connection.
+    /// Longest time to establish a connection.
     dial_limit: Duration,
-    /// The server there; none if it is another VM.
+    /// Server at the address; `None` if it is another VM.
     server: Option<ServerId>,
 }
 
-impl ExchangeWay {
-    /// Fails if the server has said since it was chosen that it wants no work: a new
-    /// connection takes up to a quarter of a second, and none is to be sent after that.
-    fn check_wanted(&self, gateway: &Gateway) -> Result<(), ExchangeFailure> {
+impl ExchangeTarget {
+    /// Fails if the server has started draining or asked for backoff since it was chosen. A
+    /// new connection takes up to a quarter of a second, and no request may follow that signal.
+    fn check_accepting(&self, gateway: &Gateway) -> Result<(), ExchangeFailure> {
         let now = gateway.now();
-        let is_wanted = |server| gateway.fleet.borrow().may_send(now, server);
-        if self.server.is_none_or(is_wanted) {
+        let is_accepting = |server| gateway.fleet.borrow().may_send(now, server);
+        if self.server.is_none_or(is_accepting) {
             return Ok(());
         }
         gateway.metrics.count("onyxfall_sends_held_total");
-        Err(ExchangeFailure::Held)
+        Err(ExchangeFailure::Declined)
     }
 }
 
-/// Sends a request on a kept connection or a new one, up to the answer's head.
+/// Sends a request on a pooled or a new connection and waits for the head of the response.
 async fn exchange(
     gateway: &Gateway,
     call: &CallContext,
-    way: &ExchangeWay,
-    make: impl Fn() -> Request<Full<Bytes>>,
+    destination: &ExchangeTarget,
+    build: impl Fn() -> Request<Full<Bytes>>,
 ) -> Result<(HttpConnection, Response<Incoming>), ExchangeFailure> {
-    let address = way.address;
+    let address = destination.address;
     let exchanged = within_deadline(gateway, call, async {
         let choice = if call.rules.repeatable {
             ConnectionChoice::Any
         } else {
-            ConnectionChoice::Proven
+            ConnectionChoice::Recent
         };
-        while let Some(mut kept) = gateway.pool.take(address, choice) {
-            way.check_wanted(gateway)?;
-            match kept.send(make()).await {
-                Ok(response) => return Ok((kept, response)),
-                // The other side had closed it; nothing was written.
+        while let Some(mut pooled) = gateway.pool.claim(address, choice) {
+            destination.check_accepting(gateway)?;
+            match pooled.send(build()).await {
+                Ok(response) => return Ok((pooled, response)),
+                // The other side had closed the connection; nothing was written.
                 Err(SendError::Unsent) => {}
-                Err(SendError::Broken(e)) => return Err(broken(address, &e)),
+                Err(SendError::Broken(e)) => return Err(connection_lost(address, &e)),
             }
         }
-        let opened = HttpConnection::open(address, gateway.dial_plan(way.dial_limit)).await;
+        let opened = HttpConnection::open(address, gateway.dial_plan(destination.dial_limit)).await;
         let mut connection = opened.map_err(|e| {
             log::info!(address:% = address, error:% = e; "no connection");
             ExchangeFailure::Unreachable
         })?;
-        way.check_wanted(gateway)?;
-        match connection.send(make()).await {
+        destination.check_accepting(gateway)?;
+        match connection.send(build()).await {
             Ok(response) => Ok((connection, response)),
             Err(SendError::Unsent) => Err(ExchangeFailure::Unreachable),
-            Err(SendError::Broken(e)) => Err(broken(address, &e)),
+            Err(SendError::Broken(e)) => Err(connection_lost(address, &e)),
         }
     });
     exchanged.await.unwrap_or(Err(ExchangeFailure::TimedOut))
 }
 
-fn broken(address: SocketAddr, error: &hyper::Error) -> ExchangeFailure {
-    log::info!(address:% = address, error:% = error; "connection broke");
+fn connection_lost(address: SocketAddr, error: &hyper::Error) -> ExchangeFailure {
+    log::info!(address:% = address, error:% = error; "connection lost");
     ExchangeFailure::Broken
 }
 
-fn make_request(call: &CallContext, headers: HeaderMap) -> Request<Full<Bytes>> {
+fn build_request(call: &CallContext, headers: HeaderMap) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.target.clone();
@@ -385,11 +383,11 @@
     request
 }
 
-fn upstream(
+fn upstream_response(
     connection: HttpConnection,
     response: Response<Incoming>,
     address: SocketAddr,
-    booking: Option<OpenAttempt>,
+    attempt: Option<OpenAttempt>,
 ) -> UpstreamResponse {
     let (head, body) = response.into_parts();
     UpstreamResponse {
@@ -398,22 +396,22 @@
         body,
         connection,
         address,
-        booking,
+        attempt,
         events: 0,
-        copy: None,
+        backup: None,
     }
 }
 
-/// Reads the rest of a refusal, so that its connection can serve again.
-async fn keep_after_refusal(
+/// Drains the body of a rejection, so that its connection can be reused.
+async fn drain_rejection(
     gateway: &Gateway,
     address: SocketAddr,
     connection: HttpConnection,
     response: Response<Incoming>,
 ) {
     let (head, body) = response.into_parts();
-    let rest = Limited::new(body, REFUSAL_BODY_LIMIT).collect();
-    let read = tokio::time::timeout(REFUSAL_BODY_WAIT, rest).await;
+    let rest = Limited::new(body, MAX_REJECTION_BODY).collect();
+    let read = tokio::time::timeout(REJECTION_BODY_TIMEOUT, rest).await;
     if matches!(read, Ok(Ok(_))) {
         let limit = keep_alive_timeout(&head.headers);
         gateway.pool.put(address, connection, limit);
--- a/crates/gateway/src/backup.rs
+++ b/crates/gateway/src/backup.rs
@@ -1,8 +1,8 @@
-//! Copies of runs at a second server, and going on from them.
+//! Backup copies of runs at a second server, and continuation from them.
 //!
-//! A stream that may run only once goes on from its copy when its server breaks off.
-//! The continuation counts as the same run. The broken connection is closed before,
-//! which also ends the first run if its server still lives.
+//! A stream that may run only once continues from its backup when the connection to its
+//! server is lost. The continuation counts as the same run. The lost connection is closed
+//! first, which also ends the original run if its server is still alive.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,15 +17,15 @@
 use crate::call::{ResponseRule, SharedCall};
 use crate::gateway::Gateway;
 
-/// A copy of a run; the memory that it takes is booked while this lives.
+/// A backup copy of a run. Its memory is accounted for until this value is dropped.
 pub(crate) struct RunBackup {
     gateway: Rc<Gateway>,
-    /// Server that holds it.
+    /// Server that holds the copy.
     server: ServerId,
-    /// Where that server listens.
+    /// Address of that server.
     pub(crate) address: SocketAddr,
     memory: u64,
-    /// Where the run is.
+    /// Address of the server that runs the original.
     source: SocketAddr,
 }
 
@@ -38,13 +38,13 @@
 }
 
 impl Gateway {
-    /// Books a copy of a run that is about to be sent to a server, if it pays.
-    pub(crate) fn start_copy(
+    /// Reserves a backup for a run that is about to start, if it is worth its cost.
+    pub(crate) fn reserve_backup(
         self: &Rc<Self>,
         call: &SharedCall,
         target: &ServerTarget,
     ) -> Option<RunBackup> {
-        if call.rules.answer != ResponseRule::LostWithServer {
+        if call.rules.response != ResponseRule::LostWithServer {
             return None;
         }
         let copied_gb = self.settings().costs.copied_gb;
@@ -67,7 +67,7 @@
             backup = state.record.name.as_str(),
             risk = decision.risk,
             cost = decision.cost;
-            "run is copied"
+            "run is backed up"
         );
         self.metrics.count("onyxfall_copies_total");
         Some(RunBackup {
@@ -80,15 +80,15 @@
     }
 }
 
-/// Goes on with a stream after `last_event`, from the copy of its run. None if there is
-/// no copy, or the server that holds it is gone too.
+/// Continues a stream after `last_event` from the backup of its run. Returns `None` if the
+/// server that holds the backup cannot continue it.
 pub(crate) async fn continue_run(
     gateway: &Rc<Gateway>,
     call: &SharedCall,
-    copy: RunBackup,
+    backup: RunBackup,
     last_event: &str,
 ) -> Option<Box<UpstreamResponse>> {
-    let target = copy_target(gateway, call, &copy)?;
+    let target = backup_target(gateway, call, &backup)?;
     if matches!(gateway.judge(call), SuspectVerdict::Quarantined { .. }) {
         return None;
     }
@@ -97,20 +97,20 @@
     }
     let mut extra = HeaderMap::new();
     set_last_event(&mut extra, last_event);
-    set_copy_from(&mut extra, copy.source, &call.request_id);
+    set_copy_from(&mut extra, backup.source, &call.request_id);
     let end = try_server(gateway, call, &target, &extra).await;
     let cause = match end {
-        AttemptEnd::Answer(answer) if answer.status.is_success() => {
+        AttemptEnd::Response(response) if response.status.is_success() => {
             gateway.metrics.count("onyxfall_runs_continued_total");
             log::info!(
                 request = call.request_id.as_str(),
                 after = last_event,
                 target = target.name.as_str();
-                "run goes on from its copy"
+                "run continued from its backup"
             );
-            return Some(answer);
+            return Some(response);
         }
-        AttemptEnd::Answer(_) => "the server failed",
+        AttemptEnd::Response(_) => "the server returned an error",
         AttemptEnd::NotRun { cause, .. } | AttemptEnd::Lost { cause } => cause,
     };
     gateway.metrics.count("onyxfall_runs_not_continued_total");
@@ -119,23 +119,23 @@
         after = last_event,
         target = target.name.as_str(),
         cause;
-        "run does not go on from its copy"
+        "run could not be continued from its backup"
     );
     None
 }
 
-fn copy_target(gateway: &Gateway, call: &SharedCall, copy: &RunBackup) -> Option<ServerTarget> {
+fn backup_target(gateway: &Gateway, call: &SharedCall, backup: &RunBackup) -> Option<ServerTarget> {
     let fleet = gateway.fleet.borrow();
     let now = gateway.now();
-    let server = fleet.server(copy.server);
-    let is_usable = fleet.may_send(now, copy.server)
-        && fleet.is_within_limit(now, copy.server)
+    let server = fleet.server(backup.server);
+    let is_usable = fleet.may_send(now, backup.server)
+        && fleet.is_within_limit(now, backup.server)
         && !server.is_cold(now);
     is_usable.then(|| ServerTarget {
-        id: copy.server,
+        id: backup.server,
         name: server.record.name.to_string(),
-        address: copy.address,
-        predicted: fleet.predict(now, copy.server, &call.needs),
+        address: backup.address,
+        predicted: fleet.predict(now, backup.server, &call.needs),
         reason: ChoiceReason::Backup,
     })
 }
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers and to other VMs.
+//! Response bodies for callers and other VMs.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -10,27 +10,27 @@
 
 use crate::stream::StreamRelay;
 
-/// Why an answer that had begun breaks off.
+/// Why a response ended after its head was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum RelayError {
-    /// The server broke off and nobody could go on.
-    #[error("the server broke off its answer")]
+    /// The connection to the server was lost and no other server resumed the stream.
+    #[error("the connection to the server was lost during the response")]
     Broken,
-    /// The time of the request is over.
-    #[error("the time of the request is over")]
+    /// The deadline of the request has passed.
+    #[error("the deadline of the request has passed")]
     TimedOut,
 }
 
-/// A body.
+/// The body of a response.
 pub(crate) enum ReplyBody {
-    /// Known whole.
+    /// A body held whole in memory.
     Whole(Full<Bytes>),
-    /// Passed on as it comes.
+    /// A stream forwarded as it arrives.
     Stream(Box<StreamRelay>),
 }
 
 impl ReplyBody {
-    /// A body that is known whole.
+    /// Creates a body from `bytes`.
     pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Full::new(bytes.into()))
     }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -1,4 +1,4 @@
-//! One request as this VM handles it.
+//! The context of one request.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -12,85 +12,84 @@
 use onyxfall_suspects::{FingerprintParts, RequestFingerprint};
 use onyxfall_types::{TeamName, VmName};
 
-/// Where a request came from.
+/// Origin of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CallOrigin {
     /// A caller of this VM.
     Caller,
-    /// Another VM; it is run here or refused, never passed on.
+    /// Another VM, which forwarded the request. It is run here or rejected, never forwarded.
     Peer(VmName),
 }
 
-/// What an answer is, and what becomes of one that breaks off.
+/// Form of a response, and how it is resumed after a lost connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ResponseRule {
-    /// One body.
+    /// A single body.
     Whole,
-    /// A stream that is lost with its server: no other may go on with it, unless it
-    /// holds a copy of the run.
+    /// A stream that no other server may resume, unless it has a backup copy of the run.
     LostWithServer,
-    /// A stream that another server may go on with.
+    /// A stream that another server may resume.
     Resumable,
-    /// The same, where the VM that passed the request on sees to it.
+    /// A resumable stream that the forwarding VM resumes.
     ResumedBySender,
 }
 
 impl ResponseRule {
-    /// Whether the answer is a series of events.
+    /// Whether the response is a stream of events.
     pub(crate) fn is_stream(self) -> bool {
         self != Self::Whole
     }
 }
 
-/// What the route asks of the way a request is served.
+/// How the route allows a request to be served.
 #[derive(Clone, Debug)]
 pub(crate) struct CallRules {
-    /// Whether it may be sent again after it may have run.
+    /// Whether the request may be sent again after it may have run.
     pub(crate) repeatable: bool,
-    /// What its answer is, and what becomes of one that breaks off.
-    pub(crate) answer: ResponseRule,
-    /// Most servers that may run it.
+    /// Form of the response, and how it is resumed after a lost connection.
+    pub(crate) response: ResponseRule,
+    /// Most servers that may run the request.
     pub(crate) max_attempts: u32,
 }
 
-/// A request, read whole and matched to its route.
+/// A request that was received whole and matched to its route.
 #[derive(Debug)]
 pub(crate) struct CallContext {
     /// Id of the caller's attempt.
     pub(crate) request_id: String,
-    /// Route that took it.
+    /// Name of the matched route.
     pub(crate) route: String,
-    /// Team whose key it carried; none on public routes and where there are no teams.
+    /// Team whose key the request carried. `None` on public routes and without teams.
     pub(crate) team: Option<TeamName>,
-    /// Its fingerprint, once that was asked for.
+    /// Fingerprint of the request, computed on first use.
     pub(crate) fingerprint: OnceCell<RequestFingerprint>,
-    /// Version of the configuration that it was matched by.
+    /// Version of the configuration that the request was matched by.
     pub(crate) version: ConfigVersion,
-    /// What it needs of a server.
+    /// Requirements on a server.
     pub(crate) needs: CallRequirements,
-    /// How it may be served.
+    /// How the request may be served.
     pub(crate) rules: CallRules,
-    /// Method as the caller sent it.
+    /// Method as sent by the caller.
     pub(crate) method: Method,
-    /// Path and query as the caller sent them.
+    /// Path and query as sent by the caller.
     pub(crate) target: Uri,
     /// Headers for the server, without those that each attempt sets.
     pub(crate) headers: HeaderMap,
-    /// Body, whole.
+    /// Whole body.
     pub(crate) body: Bytes,
-    /// Where it came from.
+    /// Origin of the request.
     pub(crate) origin: CallOrigin,
-    /// When its head had been read.
+    /// When the head was received.
     pub(crate) arrived: BootInstant,
-    /// When its answer must have ended.
+    /// When the response must have ended.
     pub(crate) deadline: BootInstant,
 }
 
-/// A request that attempts and answers share.
+/// A request shared by its attempts and responses.
 pub(crate) type SharedCall = Rc<CallContext>;
 
 impl CallContext {
-    /// Digest of its content and team; worked out only where it is asked for.
+    /// Digest of the request's content and team, computed on first use.
     pub(crate) fn fingerprint(&self) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| {
             let host = self.headers.get(HOST);
@@ -109,18 +108,18 @@
         self.deadline.saturating_duration_since(BootInstant::now())
     }
 
-    /// Time since it arrived.
+    /// Time since the request arrived.
     pub(crate) fn age(&self) -> Duration {
         self.arrived.elapsed()
     }
 
-    /// Name of its team for logs.
+    /// Name of the team for logs.
     pub(crate) fn team_name(&self) -> &str {
         self.team.as_ref().map_or("none", TeamName::as_str)
     }
 
-    /// Whether this VM may pass it on to another region.
-    pub(crate) fn may_leave(&self) -> bool {
+    /// Whether this VM may forward the request to another region.
+    pub(crate) fn may_forward(&self) -> bool {
         self.origin == CallOrigin::Caller
     }
 }
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -1,4 +1,4 @@
-//! One outgoing HTTP/1.1 connection, and how it is dialled.
+//! Outgoing HTTP/1.1 connections and how they are dialled.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -14,66 +14,67 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::task::JoinHandle;
 
-/// Sent bytes that stay unacknowledged this long break the connection, so that
-/// a peer without power or behind a cut is found within a request's goal.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1500);
-/// Rest after which an idle connection is probed; the least that the kernel has.
-const PROBE_REST: Duration = Duration::from_secs(1);
-/// Unanswered probes after which a connection breaks.
-const PROBES: u32 = 2;
-/// Longest time for a connection within the region to come up, which takes one to
-/// three milliseconds: a lost opening packet is sent again by the kernel after a
-/// second, which is too late for any goal, and another server can be tried. The
-/// rest is for a VM whose share of the processor is used up for a tenth of a second.
-pub(crate) const NEAR_DIAL_LIMIT: Duration = Duration::from_millis(250);
-/// The same where early dialling is off: past the kernel's second opening packet.
+/// Time after which unacknowledged data breaks the connection, so that a peer without
+/// power or behind a network cut is detected within the goal of a request.
+const USER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Idle time before the first keep-alive probe; the shortest that the kernel supports.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
+/// Number of unacknowledged probes that breaks a connection.
+const KEEPALIVE_PROBES: u32 = 2;
+/// Longest time to establish a connection within the region, which takes one to three
+/// milliseconds. The kernel retransmits a lost SYN only after a second, which is too late
+/// for any goal, while another server can be tried. The margin covers a VM that is
+/// throttled for a tenth of a second because its CPU quota is used up.
+pub(crate) const LOCAL_DIAL_LIMIT: Duration = Duration::from_millis(250);
+/// Dial limit without early dialling: long enough for the kernel's first SYN
+/// retransmission.
 pub(crate) const LATE_DIAL_LIMIT: Duration = Duration::from_millis(1200);
 
-/// Ends a task when dropped, and with it the socket that the task owns.
+/// Aborts a task when dropped, and closes the socket that the task owns.
 #[derive(Debug)]
-struct TaskGuard(JoinHandle<()>);
+struct AbortGuard(JoinHandle<()>);
 
-impl Drop for TaskGuard {
+impl Drop for AbortGuard {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// A connection that serves one request at a time. Dropping it closes it, which
-/// is how a request is cancelled at the other side.
+/// A connection that serves one request at a time. Dropping it closes the connection, which
+/// cancels the request at the other side.
 #[derive(Debug)]
 pub(crate) struct HttpConnection {
     sender: SendRequest<Full<Bytes>>,
-    _task: TaskGuard,
+    _task: AbortGuard,
 }
 
-/// Why a request brought no head of an answer.
+/// Why a request got no response head.
 #[derive(Debug)]
 pub(crate) enum SendError {
-    /// No byte of it was written.
+    /// No byte of the request was written.
     Unsent,
-    /// It may have been received.
+    /// The request may have been received.
     Broken(hyper::Error),
 }
 
-/// Prepares a socket so that a silent peer is noticed.
-pub(crate) fn watch_peer(stream: &TcpStream) -> io::Result<()> {
+/// Sets the socket options that detect an unresponsive peer.
+pub(crate) fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_REST)
-        .with_interval(PROBE_REST)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_IDLE)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))
+    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
 
-/// How a connection is dialled.
+/// How to dial a connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DialPlan {
-    /// Longest time until it is up.
+    /// Longest time to establish the connection.
     pub(crate) limit: Duration,
-    /// Address that it comes from; none if the system picks one.
+    /// Local address to bind; `None` lets the system choose.
     pub(crate) source: Option<IpAddr>,
 }
 
@@ -82,7 +83,7 @@
     let connecting = connect(address, plan.source);
     let dialled = tokio::time::timeout(plan.limit, connecting).await;
     let stream = dialled.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    watch_peer(&stream)?;
+    set_socket_options(&stream)?;
     Ok(stream)
 }
 
@@ -112,7 +113,7 @@
         });
         Ok(Self {
             sender,
-            _task: TaskGuard(task),
+            _task: AbortGuard(task),
         })
     }
 
@@ -121,12 +122,12 @@
         self.sender.is_ready()
     }
 
-    /// Whether either side has closed it.
+    /// Whether either side has closed the connection.
     pub(crate) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
--- a/crates/gateway/src/copies.rs
+++ b/crates/gateway/src/copies.rs
@@ -1,12 +1,13 @@
-//! Copies of the store on their way between two VMs.
+//! Transfer of whole copies of the store between VMs.
 //!
-//! A copy may be megabytes, and an aggregator gives it to dozens of VMs at once over narrow
-//! links. So it goes in parts: what a link holds is bounded, updates go between two parts,
-//! and the receiver serves with what it has. The parts are made and packed once for all who
-//! ask; one of an earlier build gets them unpacked.
+//! A copy may take megabytes, and an aggregator sends it to dozens of VMs at once over narrow
+//! links. So it is sent in parts: the memory queued per link is bounded, updates are sent
+//! between two parts, and the receiver serves with the parts that it has. Parts are built and
+//! packed once for all receivers; a peer of an earlier build that does not support packing gets
+//! them unpacked.
 //!
-//! Invariant: what a receiver held before and the copy does not name is removed only when
-//! all parts of one copy have come, in order.
+//! Invariant: an item that the receiver had before and that the copy does not list is removed
+//! only after all parts of one copy have arrived in order.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -22,71 +23,72 @@
 use crate::gateway::Gateway;
 use crate::share::{store_item, wire_item};
 
-/// Bytes of items in a part before it is packed; a single larger item makes a part of its
-/// own. A small VM's link carries one in some milliseconds.
+/// Size of a part before packing; a larger item gets a part of its own. The link of a small VM
+/// transmits a part in a few milliseconds.
 const PART_BYTES: usize = 48 * 1024;
-/// How long a copy that is coming in is waited for after its last part.
-const PART_WAIT: Duration = Duration::from_secs(2);
+/// How long the next part of an incoming copy is waited for.
+const PART_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The parts of one copy.
 pub(crate) type CopyParts = Rc<[StoreSnapshot]>;
 
-/// The parts that were made last, for all links that ask.
+/// The parts built last, shared by all links that send the copy.
 #[derive(Debug, Default)]
 pub(crate) struct CachedParts {
-    /// State of the copy that they are of, and whether it was steady.
-    of: Option<(CopyState, bool)>,
+    /// State of the copy that the parts were built from, and whether it was steady.
+    source: Option<(CopyState, bool)>,
     parts: Option<CopyParts>,
 }
 
-/// A copy that another VM is giving to this one.
+/// A copy of the store that another VM is sending to this one.
 #[derive(Debug)]
 pub(crate) struct IncomingCopy {
     from: VmName,
-    next: u32,
+    next_part: u32,
     listed: BTreeSet<String>,
-    heard: Moment,
+    received_at: Moment,
 }
 
 /// Parts of a copy that a link has still to send.
 #[derive(Default)]
 pub(crate) struct OutgoingCopy {
     parts: Option<CopyParts>,
-    next: usize,
-    takes_packed: bool,
+    next_part: usize,
+    accepts_packed: bool,
 }
 
 impl OutgoingCopy {
-    /// Begins with a copy, for a VM that understands packed items or does not.
-    pub(crate) fn begin(&mut self, parts: CopyParts, takes_packed: bool) {
+    /// Starts sending a copy. `accepts_packed` tells whether the receiver supports packed
+    /// items.
+    pub(crate) fn begin(&mut self, parts: CopyParts, accepts_packed: bool) {
         self.parts = Some(parts);
-        self.next = 0;
-        self.takes_packed = takes_packed;
+        self.next_part = 0;
+        self.accepts_packed = accepts_packed;
     }
 
-    /// Whether a part is left.
+    /// Whether a part is left to send.
     pub(crate) fn has_next(&self) -> bool {
         self.parts.is_some()
     }
 
-    /// The next part.
-    pub(crate) fn take_next(&mut self) -> Result<Option<StoreSnapshot>, PackError> {
+    /// Removes and returns the next part.
+    pub(crate) fn pop_next(&mut self) -> Result<Option<StoreSnapshot>, PackError> {
         let Some(parts) = &self.parts else {
             return Ok(None);
         };
-        let part = parts.get(self.next).cloned();
-        self.next += 1;
-        if self.next >= parts.len() {
+        let part = parts.get(self.next_part).cloned();
+        self.next_part += 1;
+        if self.next_part >= parts.len() {
             self.parts = None;
         }
-        if self.takes_packed {
+        if self.accepts_packed {
             return Ok(part);
         }
         part.map(unpacked).transpose()
     }
 }
 
-/// A part whose items are not packed.
+/// Returns the part with its items unpacked.
 fn unpacked(mut part: StoreSnapshot) -> Result<StoreSnapshot, PackError> {
     if !part.packed.is_empty() {
         let packed = std::mem::take(&mut part.packed);
@@ -95,20 +97,20 @@
     Ok(part)
 }
 
-/// A part with packed items, where they can be packed.
+/// Returns the part with its items packed, or unchanged if packing fails.
 fn packed(mut part: StoreSnapshot) -> StoreSnapshot {
     match pack_items(part.items.clone()) {
         Ok(packed) => {
             part.packed = packed;
             part.items = Vec::new();
         }
-        Err(e) => log::warn!(error:% = e; "part of a copy not packed"),
+        Err(e) => log::warn!(error:% = e; "cannot pack store copy part"),
     }
     part
 }
 
-/// Cuts items into parts.
-fn cut(items: Vec<SnapshotItem>, revision: u64, is_steady: bool) -> CopyParts {
+/// Splits items into parts.
+fn split_parts(items: Vec<SnapshotItem>, revision: u64, is_steady: bool) -> CopyParts {
     let part = |number: usize| StoreSnapshot {
         revision,
         items: Vec::new(),
@@ -145,43 +147,43 @@
             let is_settled = !store.is_watched() || store.health(self.now()) == StoreHealth::Steady;
             self.copy_is_whole() && is_settled && !mirror.has_missing()
         };
-        let made = &mut *self.cached_parts.borrow_mut();
-        let of = Some((mirror.state(), is_steady));
-        if let Some(parts) = made.parts.as_ref().filter(|_| made.of == of) {
+        let cached = &mut *self.cached_parts.borrow_mut();
+        let source = Some((mirror.state(), is_steady));
+        if let Some(parts) = cached.parts.as_ref().filter(|_| cached.source == source) {
             return CopyParts::clone(parts);
         }
         let items = mirror.snapshot().into_iter().map(wire_item).collect();
-        let parts = cut(items, mirror.revision(), is_steady);
-        made.of = of;
-        made.parts = Some(CopyParts::clone(&parts));
+        let parts = split_parts(items, mirror.revision(), is_steady);
+        cached.source = source;
+        cached.parts = Some(CopyParts::clone(&parts));
         parts
     }
 
-    /// Whether another VM is giving its copy to this one.
-    pub(crate) fn awaits_copy(&self) -> bool {
+    /// Whether another VM is sending its copy of the store to this one.
+    pub(crate) fn is_receiving_copy(&self) -> bool {
         let now = self.now();
         let incoming = self.incoming_copy.borrow();
         incoming
             .as_ref()
-            .is_some_and(|copy| now - copy.heard < PART_WAIT)
+            .is_some_and(|copy| now - copy.received_at < PART_TIMEOUT)
     }
 
-    /// Takes a part of another VM's copy of the store, unless this VM watches the store
-    /// itself or knows of a later era.
-    pub(crate) fn take_copy_part(&self, from: &VmName, part: StoreSnapshot) {
+    /// Applies a part of another VM's copy of the store. It is ignored if this VM watches the
+    /// store itself or its copy is of a later era.
+    pub(crate) fn apply_copy_part(&self, from: &VmName, part: StoreSnapshot) {
         if self.store.borrow().is_watched() || self.mirror.borrow().is_past_era(part.revision) {
             return;
         }
         let part = match unpacked(part) {
             Ok(part) => part,
             Err(e) => {
-                // The parts after it do not follow, so that the copy is asked for again.
-                log::warn!(from = from.as_str(), error:% = e; "part of a copy not understood");
+                // The parts that follow are out of order then, so the copy is requested again.
+                log::warn!(from = from.as_str(), error:% = e; "cannot unpack store copy part");
                 self.metrics.count("onyxfall_items_not_understood_total");
                 return;
             }
         };
-        if !self.note_part(from, &part) {
+        if !self.record_part(from, &part) {
             return;
         }
         let health = if part.is_steady {
@@ -201,30 +203,30 @@
         }
     }
 
-    /// Notes a part; whether it follows the one before.
-    fn note_part(&self, from: &VmName, part: &StoreSnapshot) -> bool {
-        let heard = self.now();
+    /// Records a part. Returns whether it directly follows the one before.
+    fn record_part(&self, from: &VmName, part: &StoreSnapshot) -> bool {
+        let received_at = self.now();
         let incoming = &mut *self.incoming_copy.borrow_mut();
         if part.part == 0 {
             *incoming = Some(IncomingCopy {
                 from: from.clone(),
-                next: 0,
+                next_part: 0,
                 listed: BTreeSet::new(),
-                heard,
+                received_at,
             });
         }
-        let follows = |copy: &&mut IncomingCopy| copy.from == *from && copy.next == part.part;
+        let follows = |copy: &&mut IncomingCopy| copy.from == *from && copy.next_part == part.part;
         let Some(copy) = incoming.as_mut().filter(follows) else {
             return false;
         };
-        copy.next += 1;
-        copy.heard = heard;
+        copy.next_part += 1;
+        copy.received_at = received_at;
         copy.listed
             .extend(part.items.iter().map(|item| item.key.clone()));
         true
     }
 
-    /// All parts of a copy have come: what it does not name is gone.
+    /// Completes a copy after its last part: removes the items that it does not list.
     fn finish_copy(&self, from: &VmName, revision: u64, health: StoreHealth) {
         let Some(copy) = self.incoming_copy.borrow_mut().take() else {
             return;
@@ -233,14 +235,14 @@
             from = from.as_str(),
             revision,
             items = copy.listed.len();
-            "copy of the store taken from another VM"
+            "received a copy of the store from another VM"
         );
         let now = self.now();
         let changes = {
             let mut mirror = self.mirror.borrow_mut();
             mirror.remove_unlisted(now, WATCHED_PREFIX, &copy.listed, revision, health)
         };
-        self.note_caught_up();
+        self.record_caught_up();
         self.apply_changes(changes);
     }
 }
--- a/crates/gateway/src/costs.rs
+++ b/crates/gateway/src/costs.rs
@@ -1,4 +1,4 @@
-//! What VMs tell each other of learned costs, and the lengths of answers.
+//! Exchange of learned costs between VMs, and the learned lengths of responses.
 
 use std::time::Duration;
 
@@ -9,18 +9,18 @@
 
 use crate::gateway::Gateway;
 
-/// Time between two messages on a link that tell what was learned. A VM that has just
-/// started hears it in the first one; after that costs change slowly.
-const COSTS_INTERVAL: Duration = Duration::from_secs(1);
+/// Time between two messages on a link that carry learned costs. A VM that has just started
+/// gets them in the first message; after that they change slowly.
+const COST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// When costs were last told on a link.
+/// When costs were last sent on a link.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CostCursor(Option<BootInstant>);
 
 impl CostCursor {
-    /// What to tell now: nothing if it was told a moment ago.
+    /// The costs to send now, which are none if they were sent within [`COST_INTERVAL`].
     pub(crate) fn due(&mut self, gateway: &Gateway, view: CostView) -> Vec<ServiceCostEntry> {
-        if self.0.is_some_and(|at| at.elapsed() < COSTS_INTERVAL) {
+        if self.0.is_some_and(|at| at.elapsed() < COST_INTERVAL) {
             return Vec::new();
         }
         let costs = known_costs(gateway, view);
@@ -31,7 +31,7 @@
     }
 }
 
-/// What this VM tells of the costs of each service.
+/// The costs of each service that this VM reports.
 fn known_costs(gateway: &Gateway, view: CostView) -> Vec<ServiceCostEntry> {
     let fleet = gateway.fleet.borrow();
     fleet
@@ -49,12 +49,12 @@
         .collect()
 }
 
-/// Takes what another VM has learned. Entries of services that are not known here,
-/// or of another form, are left out.
-pub(crate) fn take_costs(
+/// Applies costs learned by another VM. Entries of unknown services or of another length are
+/// ignored.
+pub(crate) fn apply_costs(
     gateway: &Gateway,
     from: &VmName,
-    teller: CostSource,
+    source: CostSource,
     entries: &[ServiceCostEntry],
 ) {
     if entries.is_empty() {
@@ -68,16 +68,16 @@
     for entry in entries {
         let mut services = table.services();
         let named = services.find(|service| name_tag(service.name.as_str()) == entry.service);
-        let (Some(service), Some(report)) = (named, read_entry(entry)) else {
+        let (Some(service), Some(report)) = (named, report_from_entry(entry)) else {
             continue;
         };
-        if fleet.receive_costs(now, from, teller, &service.name, report) {
+        if fleet.receive_costs(now, from, source, &service.name, report) {
             gateway.metrics.count("onyxfall_absurd_costs_total");
         }
     }
 }
 
-fn read_entry(entry: &ServiceCostEntry) -> Option<CostReport> {
+fn report_from_entry(entry: &ServiceCostEntry) -> Option<CostReport> {
     let first: [f32; 5] = entry.first.as_slice().try_into().ok()?;
     let pace: [f32; 3] = entry.pace.as_slice().try_into().ok()?;
     Some(CostReport {
@@ -91,20 +91,20 @@
     })
 }
 
-/// Costs are told in single precision, which halves the bytes of a heartbeat.
+/// Costs are sent in single precision, which halves the bytes of a heartbeat.
 #[allow(clippy::cast_possible_truncation)]
 fn narrow(weight: f64) -> f32 {
     weight as f32
 }
 
 impl Gateway {
-    /// Expected events of an answer of a route.
+    /// Expected number of events in a response of a route.
     pub(crate) fn expected_events(&self, route: &str, prompt: &PromptSize) -> Option<f64> {
         let lengths = self.lengths.borrow();
         lengths.expected(route, prompt.likely_output())
     }
 
-    /// Takes a whole answer of `events`.
+    /// Records a complete response of `events` events.
     pub(crate) fn record_response_length(&self, route: &str, prompt: &PromptSize, events: u32) {
         let mut lengths = self.lengths.borrow_mut();
         lengths.learn(route, prompt.likely_output(), events);
--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -1,4 +1,4 @@
-//! Where a request goes: a server of this region, another region, or nowhere.
+//! Routing decision: a server of this region, another region, or rejection.
 
 use std::borrow::Cow;
 use std::time::Duration;
@@ -18,54 +18,54 @@
 use crate::report::millis;
 use crate::serve::CallProgress;
 
-/// Pause between two looks for a server while none is usable.
-const LOOK_AGAIN: Duration = Duration::from_millis(25);
-/// Part of the goal for which a request waits for a usable server; a refusal
+/// Interval at which a request checks again for a server while none is usable.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(25);
+/// Share of the latency goal for which a request waits for a usable server. A rejection
 /// later than a quarter of the goal counts as late.
-const PATIENCE_PART: f64 = 0.22;
-/// Age up to which a VM may not have heard of the other regions yet, and the
-/// part of the goal for which requests wait there: what waits is then served.
-const YOUNG: Duration = Duration::from_millis(1500);
-const YOUNG_PATIENCE_PART: f64 = 0.6;
-/// Part of the goal up to which a prompt may be read behind all others at a server.
-/// Beyond, a request makes more others late than it is worth, the longer its own
-/// prompt the more; a refusal at once lets the caller come back. On 24 days of three
-/// sites 0.7 and 1.0 of the goal brought a mean worth of 0.701 and 0.702, with 3.1 and
-/// 2.8 % of requests refused.
-const OVERLOAD_PART: f64 = 1.0;
-/// Part of the goal up to which others' work is no reason to refuse: where hardly
-/// anything waits, refusing a long prompt helps nobody.
-const IDLE_PART: f64 = 0.1;
-/// Part of the goal within which another region must answer a request that this one has
-/// no room for: predictions err by some tens of milliseconds.
-const SPILL_PART: f64 = 0.75;
-/// Part of the expected time of a whole answer that most answers need: a fifth ended
-/// within 0.51 to 0.58 of it on three days with a rush. A request is refused for its
-/// end only if the caller will hardly get it. Refusing at the expected time itself
-/// lost 0.008 of worth on one site, and won 0.004 on another.
-const LIKELY_PART: f64 = 0.6;
-/// Bounds of the time after which a refused caller is told to come back.
+const PATIENCE_SHARE: f64 = 0.22;
+/// Age up to which a VM may not have discovered the other regions, and the share of the
+/// goal for which requests wait during that time. What waits that long is then served.
+const STARTUP_TIME: Duration = Duration::from_millis(1500);
+const STARTUP_PATIENCE_SHARE: f64 = 0.6;
+/// Share of the goal up to which a prompt may be prefilled behind all others at a server.
+/// Beyond it, a request delays others by more than its own value, and the more the longer
+/// its prompt is; an early rejection lets the caller retry. On 24 days of three sites, 0.7
+/// and 1.0 of the goal gave a mean value of 0.701 and 0.702, with 3.1 and 2.8 % of requests
+/// rejected.
+const OVERLOAD_SHARE: f64 = 1.0;
+/// Share of the goal up to which a backlog is no reason to reject a request. Where hardly
+/// anything is queued, rejecting a long prompt makes nothing else faster.
+const IDLE_SHARE: f64 = 0.1;
+/// Share of the goal within which another region must respond to a request that this one
+/// has no capacity for. Predictions are off by some tens of milliseconds.
+const OVERFLOW_SHARE: f64 = 0.75;
+/// Share of the predicted time of a whole response that most responses need: a fifth
+/// ended within 0.51 to 0.58 of it on three days with a load spike. A request is rejected
+/// for its predicted end only if the caller is unlikely to receive the response. Rejecting
+/// at the predicted time itself lost 0.008 of value on one site and gained 0.004 on another.
+const LIKELY_SHARE: f64 = 0.6;
+/// Range of the retry delay sent to rejected callers.
 const RETRY_AFTER_RANGE: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_millis(900));
-/// Part of a time of rest, and least time, over which callers that are told its end are
-/// spread: they are not to come back in the same moment to a server that has just rested.
-const REST_SPREAD_PART: f64 = 0.2;
-const LEAST_REST_SPREAD: Duration = Duration::from_millis(300);
+/// Share of a backoff, and least time, over which the retries of callers are spread after
+/// its end, so that they do not all reach a server that has just recovered at once.
+const BACKOFF_SPREAD_SHARE: f64 = 0.2;
+const MIN_BACKOFF_SPREAD: Duration = Duration::from_millis(300);
 
-/// Where a request goes next.
+/// Next step of a request.
 pub(crate) enum RouteStep {
-    /// To a server of this region.
+    /// Send it to a server of this region.
     Server(ServerTarget),
-    /// To a VM of another region.
+    /// Forward it to a VM of another region.
     Peer(PeerTarget),
-    /// Nowhere yet; look again after a pause.
+    /// Decide again after a pause.
     Later(Duration),
-    /// Nowhere.
+    /// Reject it.
     Refuse(RequestError),
 }
 
 impl Gateway {
-    /// Decides where a request goes next.
+    /// Decides the next step of a request.
     pub(crate) fn decide(&self, call: &SharedCall, progress: &CallProgress) -> RouteStep {
         if let Some(step) = self.decide_suspect(call, progress) {
             return step;
@@ -85,16 +85,16 @@
         if let Some(step) = (!is_free).then(|| self.decide_spare(call)).flatten() {
             return step;
         }
-        let away = self
-            .best_away(now, call, progress)
-            .filter(|away| !self.is_too_late(call, &away.predicted));
-        match (local, away) {
-            (LocalOption::Free(choice), away) => self.weigh(now, call, choice, away, progress),
-            (_, Some(away)) => self.send_away(call, away, progress),
+        let remote = self
+            .best_remote(now, call, progress)
+            .filter(|remote| !self.is_too_late(call, &remote.predicted));
+        match (local, remote) {
+            (LocalOption::Free(choice), remote) => self.route(now, call, choice, remote, progress),
+            (_, Some(remote)) => self.forward(call, remote, progress),
             (LocalOption::Full, None) => {
                 RouteStep::Refuse(overloaded("every server is full", call.needs.goal / 2))
             }
-            (LocalOption::BackedOff(end), None) => self.wait_for_rest(call, end - now),
+            (LocalOption::BackedOff(end), None) => self.wait_for_backoff(call, end - now),
             (LocalOption::Unavailable | LocalOption::None, None) => {
                 self.wait_or_refuse(call, "no server is usable", call.needs.goal / 2)
             }
@@ -102,39 +102,39 @@
     }
 
     /// Decides between a server of this region and another region.
-    fn weigh(
+    fn route(
         &self,
         now: Moment,
         call: &SharedCall,
         choice: ServerChoice,
-        away: Option<RemoteOption>,
+        remote: Option<RemoteOption>,
         progress: &CallProgress,
     ) -> RouteStep {
         let fleet = self.fleet.borrow();
         let server = fleet.server(choice.server);
         if self.settings().switches.policy() == ChoicePolicy::Random {
-            return self.weigh_at_random(now, call, &fleet, &choice, progress);
+            return self.route_at_random(now, call, &fleet, &choice, progress);
         }
-        if let Some(away) = self.spill(now, call, &fleet, progress) {
-            return self.send_away(call, away, progress);
+        if let Some(remote) = self.draw_overflow_region(now, call, &fleet, progress) {
+            return self.forward(call, remote, progress);
         }
-        if let Some(away) = away {
-            let unread = server.shared_prefill_tokens(now, &call.needs.prompt);
-            let saved = fleet.prefill_time(&call.needs.service, unread);
+        if let Some(remote) = remote {
+            let pending_prefill = server.shared_prefill_tokens(now, &call.needs.prompt);
+            let saved = fleet.prefill_time(&call.needs.service, pending_prefill);
             let (goal, local) = (call.needs.goal, choice.predicted.loaded);
-            let there = away.predicted.loaded;
-            if goes_remote(goal, local, saved, there, away.holds_prefix) {
+            let remote_time = remote.predicted.loaded;
+            if goes_remote(goal, local, saved, remote_time, remote.holds_prefix) {
                 log::info!(
                     request = call.request_id.as_str(),
-                    region = away.region.as_str(),
+                    region = remote.region.as_str(),
                     goal_ms = millis(goal),
                     local_ms = millis(local),
-                    away_ms = millis(there),
-                    unread_shared = unread,
-                    holds_prefix = away.holds_prefix;
+                    away_ms = millis(remote_time),
+                    unread_shared = pending_prefill,
+                    holds_prefix = remote.holds_prefix;
                     "sent away"
                 );
-                return self.send_away(call, away, progress);
+                return self.forward(call, remote, progress);
             }
         }
         if self.is_too_late(call, &choice.predicted) {
@@ -143,9 +143,9 @@
         RouteStep::Server(server_target(&fleet, &choice))
     }
 
-    /// The region that a request to a plain service goes to since this one is offered
-    /// more than it can do, by chance.
-    fn spill(
+    /// Draws a region for a request to a plain service while this region is offered more load
+    /// than it can serve. `None` if the request stays here.
+    fn draw_overflow_region(
         &self,
         now: Moment,
         call: &CallContext,
@@ -153,12 +153,12 @@
         progress: &CallProgress,
     ) -> Option<RemoteOption> {
         let needs = &call.needs;
-        if needs.engine.is_some() || !self.leaves(call) {
+        if needs.engine.is_some() || !self.may_forward(call) {
             return None;
         }
-        // A server here has turned it away: the others of the region are as full.
-        let is_turned_away = progress.arrivals > progress.runs;
-        let overflow = if is_turned_away {
+        // A server here rejected the request; the others of the region are as full.
+        let is_rejected = progress.arrivals > progress.runs;
+        let overflow = if is_rejected {
             1.0
         } else {
             fleet.overflow(now, &needs.service)
@@ -167,32 +167,32 @@
         if overflow <= 0.0 || !rng.random_bool(overflow.min(1.0)) {
             return None;
         }
-        let excluded = self.closed_regions(&progress.vms);
+        let excluded = self.unreachable_regions(&progress.vms);
         let trips = self.trips.borrow();
         let search = RemoteSearch {
             excluded: &excluded,
             ..plain_search(fleet, &trips, needs)
         };
-        let limit = needs.goal.mul_f64(SPILL_PART);
-        let excess = if is_turned_away {
+        let limit = needs.goal.mul_f64(OVERFLOW_SHARE);
+        let excess = if is_rejected {
             0.0
         } else {
             fleet.excess(now, &needs.service)
         };
-        let away = self.remote_table.borrow();
-        let drawn = away.draw_spare(now, &search, limit, excess, rng)?;
+        let table = self.remote_table.borrow();
+        let remote = table.draw_spare(now, &search, limit, excess, rng)?;
         log::info!(
             request = call.request_id.as_str(),
-            region = drawn.region.as_str(),
+            region = remote.region.as_str(),
             overflow,
-            away_ms = millis(drawn.predicted.first);
-            "sent away, more is offered here than can be done"
+            away_ms = millis(remote.predicted.first);
+            "sent away, this region is offered more load than it can serve"
         );
-        Some(drawn)
+        Some(remote)
     }
 
-    /// Counts a request for the rates of its service, with its first attempt.
-    pub(crate) fn record_request(&self, call: &CallContext, progress: &CallProgress) {
+    /// Counts a request for the arrival rates of its service at its first attempt.
+    pub(crate) fn record_rate(&self, call: &CallContext, progress: &CallProgress) {
         if progress.arrivals + progress.unreached > 0 {
             return;
         }
@@ -205,15 +205,15 @@
         fleet.record_request(now, &call.needs.service, kind);
     }
 
-    /// Whether a request may leave the region.
-    fn leaves(&self, call: &CallContext) -> bool {
+    /// Whether a request may be forwarded to another region.
+    fn may_forward(&self, call: &CallContext) -> bool {
         let policy = self.settings().switches.policy();
-        let stays = matches!(policy, ChoicePolicy::LocalOnly | ChoicePolicy::RoundRobin);
-        !stays && call.may_leave() && self.is_on(DecisionSwitch::SendAway)
+        let is_local_only = matches!(policy, ChoicePolicy::LocalOnly | ChoicePolicy::RoundRobin);
+        !is_local_only && call.may_forward() && self.is_on(DecisionSwitch::SendAway)
     }
 
-    /// Sends the request to a region drawn by its usable servers; a baseline.
-    fn weigh_at_random(
+    /// Forwards the request to a random region, weighted by usable servers; a baseline policy.
+    fn route_at_random(
         &self,
         now: Moment,
         call: &SharedCall,
@@ -226,98 +226,98 @@
         let servers = fleet.servers_of(&call.needs.service).iter();
         let own = servers.filter(|id| fleet.server(**id).region == fleet.place().region);
         let own = u32::try_from(own.count()).unwrap_or(u32::MAX);
-        let drawn = if call.may_leave() {
+        let remote = if call.may_forward() {
             let rng = &mut *self.rng.borrow_mut();
             self.remote_table.borrow().draw(now, &search, own, rng)
         } else {
             None
         };
-        match drawn {
-            Some(away) => self.send_away(call, away, progress),
+        match remote {
+            Some(remote) => self.forward(call, remote, progress),
             None => RouteStep::Server(server_target(fleet, choice)),
         }
     }
 
-    /// Waits while the caller's patience lasts; then refuses, to come back `after`.
+    /// Waits up to a share of the request's goal, then rejects it with retry delay `after`.
     pub(crate) fn wait_or_refuse(
         &self,
         call: &CallContext,
         detail: &str,
         after: Duration,
     ) -> RouteStep {
-        let part = if self.started.elapsed() < YOUNG {
-            YOUNG_PATIENCE_PART
+        let share = if self.started.elapsed() < STARTUP_TIME {
+            STARTUP_PATIENCE_SHARE
         } else {
-            PATIENCE_PART
+            PATIENCE_SHARE
         };
-        let patience = call.needs.goal.mul_f64(part);
-        if call.age() + LOOK_AGAIN < patience {
-            return RouteStep::Later(LOOK_AGAIN);
+        let patience = call.needs.goal.mul_f64(share);
+        if call.age() + RECHECK_INTERVAL < patience {
+            return RouteStep::Later(RECHECK_INTERVAL);
         }
         RouteStep::Refuse(overloaded(detail, after))
     }
 
-    /// Waits where a server may have work again within the caller's patience; otherwise
-    /// refuses at once, to come back when the first of them may: nothing else that the
-    /// caller could wait for is known.
-    pub(crate) fn wait_for_rest(&self, call: &CallContext, left: Duration) -> RouteStep {
-        let patience = call.needs.goal.mul_f64(PATIENCE_PART);
-        if call.age() + left.max(LOOK_AGAIN) < patience {
-            return RouteStep::Later(LOOK_AGAIN);
+    /// Waits if a server accepts requests again, in `left`, soon enough for the request.
+    /// Otherwise rejects the request at once with a retry delay of `left` and a random
+    /// spread, since no earlier chance is known.
+    pub(crate) fn wait_for_backoff(&self, call: &CallContext, left: Duration) -> RouteStep {
+        let patience = call.needs.goal.mul_f64(PATIENCE_SHARE);
+        if call.age() + left.max(RECHECK_INTERVAL) < patience {
+            return RouteStep::Later(RECHECK_INTERVAL);
         }
-        let spread = left.mul_f64(REST_SPREAD_PART).max(LEAST_REST_SPREAD);
+        let spread = left.mul_f64(BACKOFF_SPREAD_SHARE).max(MIN_BACKOFF_SPREAD);
         let part = self.rng.borrow_mut().random::<f64>();
         let after = left.max(RETRY_AFTER_RANGE.0) + spread.mul_f64(part);
-        let detail = "every server wants nothing from this VM for a while";
+        let detail = "every server is in backoff or at its limit";
         let error = RequestError::not_run(RefusalReason::Overloaded, detail);
         RouteStep::Refuse(error.with_retry_after(after))
     }
 
-    fn send_away(
+    fn forward(
         &self,
         call: &CallContext,
-        away: RemoteOption,
+        remote: RemoteOption,
         progress: &CallProgress,
     ) -> RouteStep {
-        let Some(target) = self.relay_target(&away.region, &progress.vms) else {
-            let detail = "no VM of the other region is left";
+        let Some(target) = self.relay_target(&remote.region, &progress.vms) else {
+            let detail = "no VM of the other region is reachable";
             return RouteStep::Refuse(overloaded(detail, Duration::ZERO));
         };
         let tag = name_tag(call.needs.service.as_str());
         let now = self.now();
-        self.remote_table.borrow_mut().note_sent(now, &away, tag);
+        self.remote_table.borrow_mut().note_sent(now, &remote, tag);
         RouteStep::Peer(PeerTarget {
             vm: target.vm,
             address: target.address,
-            region: away.region,
-            predicted: away.predicted,
-            reason: PeerReason::Away,
+            region: remote.region,
+            predicted: remote.predicted,
+            reason: PeerReason::Remote,
         })
     }
 
-    /// Whether an answer comes too late to be worth its work: there is too much before
-    /// it, or the caller will have left.
+    /// Whether a response would come too late to be worth its work: the backlog is too long,
+    /// or the caller will have disconnected.
     pub(crate) fn is_too_late(&self, call: &CallContext, predicted: &TimePrediction) -> bool {
         let refuses = self.is_on(DecisionSwitch::RefusePredicted);
         let is_full = refuses
-            && predicted.backlog > call.needs.goal.mul_f64(IDLE_PART)
-            && predicted.loaded > call.needs.goal.mul_f64(OVERLOAD_PART);
+            && predicted.backlog > call.needs.goal.mul_f64(IDLE_SHARE)
+            && predicted.loaded > call.needs.goal.mul_f64(OVERLOAD_SHARE);
         let time_left = call.time_left();
-        let is_cut = predicted.whole.mul_f64(LIKELY_PART) > time_left
+        let is_disconnected = predicted.whole.mul_f64(LIKELY_SHARE) > time_left
             && self.is_on(DecisionSwitch::WholeAnswers);
-        is_full || is_cut || predicted.first > time_left
+        is_full || is_disconnected || predicted.first > time_left
     }
 
-    fn best_away(
+    fn best_remote(
         &self,
         now: Moment,
         call: &CallContext,
         progress: &CallProgress,
     ) -> Option<RemoteOption> {
-        if !self.leaves(call) {
+        if !self.may_forward(call) {
             return None;
         }
-        let excluded = self.closed_regions(&progress.vms);
+        let excluded = self.unreachable_regions(&progress.vms);
         let fleet = self.fleet.borrow();
         let trips = self.trips.borrow();
         let search = RemoteSearch {
@@ -329,7 +329,7 @@
     }
 }
 
-/// What a request needs from here on: of a stream, what the caller does not have yet.
+/// Requirements of the rest of a request: for a stream, of the events not yet sent.
 fn remaining_needs<'a>(
     call: &'a CallContext,
     progress: &CallProgress,
@@ -344,7 +344,7 @@
     Cow::Owned(needs)
 }
 
-/// A search that follows no prefix and leaves no VM out.
+/// A search without a preferred prefix home and without excluded regions.
 fn plain_search<'a>(
     fleet: &'a FleetView,
     trips: &'a RoundTrips,
@@ -376,7 +376,7 @@
 fn too_late(call: &CallContext, predicted: &TimePrediction) -> RequestError {
     let after = predicted.backlog.saturating_sub(call.needs.goal / 2);
     let detail = format!(
-        "no server can answer in time: the best one begins after {} ms and ends after {} ms, the goal is {} ms, the caller leaves after {} ms",
+        "no server can respond in time: the first byte is predicted after {} ms and the end after {} ms, with a goal of {} ms and a caller timeout of {} ms",
         millis(predicted.first),
         millis(predicted.whole),
         millis(call.needs.goal),
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -1,4 +1,4 @@
-//! Readiness, the directory of entry VMs, and metrics.
+//! Readiness checks, the directory of entry VMs, and the metrics endpoint.
 
 use std::net::SocketAddr;
 
@@ -13,15 +13,14 @@
 use crate::body::ReplyBody;
 use crate::gateway::Gateway;
 
-/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// Most addresses in one answer; callers take no more.
+/// Most addresses in one response; callers use no more.
 const MAX_ADDRESSES: usize = 64;
-/// How long callers may keep an answer: short, so that a VM that dies is soon
-/// left; the settings' bound is the upper end.
+/// How long callers may cache a response. It is short so that callers soon stop using a VM
+/// that has failed; the setting is an upper bound.
 const DIRECTORY_TTL: std::time::Duration = std::time::Duration::from_secs(1);
 
-/// Answers on the ports for status and directory.
+/// Handles requests to the status and directory ports.
 pub(crate) fn handle_directory(gateway: &Gateway, target: &Uri) -> Response<ReplyBody> {
     match target.path() {
         READY_PATH if gateway.is_ready() => plain(StatusCode::OK, "ready\n".to_owned()),
@@ -51,9 +50,9 @@
     response
 }
 
-/// The VMs to name: the nearest that serve. Before a caller is led to a region
-/// that is neither its own nor a home, VMs that are stopping are named: they
-/// still serve, and data may not leave its homes.
+/// Returns the nearest VMs that serve. VMs that are shutting down are listed before those of
+/// a region that is neither the caller's own nor a home, because they still serve and data
+/// may not leave its home regions.
 fn entries_for(gateway: &Gateway, query: &DirectoryQuery) -> Vec<SocketAddr> {
     let overlay = gateway.overlay.borrow();
     let roster = overlay.roster();
@@ -88,7 +87,7 @@
     chosen.unwrap_or_default()
 }
 
-/// Regions that are a home for most bound routes of the host that is asked for.
+/// Regions that are a home for most routes of the queried host that have home regions.
 fn homes_of(gateway: &Gateway, query: &DirectoryQuery) -> Vec<RegionName> {
     query
         .host
@@ -97,9 +96,9 @@
         .unwrap_or_default()
 }
 
-fn select(vms: &[&VmRecord], takes: impl Fn(&VmRecord) -> bool) -> Vec<SocketAddr> {
+fn select(vms: &[&VmRecord], matches: impl Fn(&VmRecord) -> bool) -> Vec<SocketAddr> {
     vms.iter()
-        .filter(|vm| takes(vm))
+        .filter(|vm| matches(vm))
         .map(|vm| vm.address)
         .take(MAX_ADDRESSES)
         .collect()
--- a/crates/gateway/src/frames.rs
+++ b/crates/gateway/src/frames.rs
@@ -1,7 +1,7 @@
-//! Messages of the overlay as frames carry them.
+//! Conversion of the overlay's messages to and from their wire form.
 //!
-//! What does not make sense (an unknown data centre, no address, a relation of a later
-//! version) is left out here, so that the rest of the program meets typed values only.
+//! Invalid values (an unknown data centre, a missing address, a relation of a later version)
+//! are dropped here, so that the rest of the program handles typed values only.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -19,10 +19,10 @@
     LostInstanceEntry, ServerWorkEntry, SuspectEntry, VmEntry, VmRosterUpdate, VmUpdate, WorkSet,
 };
 
-/// The regions of the data centres that the settings name.
+/// The region of each data centre in the settings.
 pub(crate) type CenterRegions = BTreeMap<CenterName, RegionName>;
 
-/// A VM as frames carry it.
+/// Converts a VM record to its wire form.
 pub(crate) fn vm_entry(record: &VmRecord) -> VmEntry {
     let ip = match record.address.ip() {
         IpAddr::V4(ip) => Bytes::copy_from_slice(&ip.octets()),
@@ -43,7 +43,8 @@
     }
 }
 
-/// The VM of an entry; none if a field is malformed or its data centre is unknown.
+/// Converts a VM entry received. Returns `None` if a field is malformed or its data centre is
+/// unknown.
 pub(crate) fn vm_record(entry: &VmEntry, regions: &CenterRegions) -> Option<VmRecord> {
     let ip = read_ip(&entry.ip)?;
     let address = |port: u32| Some(SocketAddr::new(ip, u16::try_from(port).ok()?));
@@ -74,24 +75,24 @@
     <[u8; 16]>::try_from(bytes).ok().map(IpAddr::from)
 }
 
-/// A message of the overlay as a frame carries it, without what the gateway adds.
+/// Converts an update of the overlay to its wire form, without the gateway's additions.
 pub(crate) fn wire_update(update: &OverlayUpdate) -> VmUpdate {
     VmUpdate {
         relation: update.relation.number(),
         record: update.record.as_ref().map(vm_entry),
-        word: update.word.as_ref().map(wire_word),
+        word: update.word.as_ref().map(wire_roster),
         work: update.work.as_ref().map(wire_work),
         is_warm: update.is_warm,
         ..VmUpdate::default()
     }
 }
 
-/// The message of the overlay in a frame; none if its relation is unknown.
+/// Extracts the overlay's update from a message. Returns `None` if its relation is unknown.
 pub(crate) fn overlay_update(update: &VmUpdate, regions: &CenterRegions) -> Option<OverlayUpdate> {
     let word = update
         .word
         .as_ref()
-        .and_then(|word| read_word(word, regions));
+        .and_then(|roster| read_roster(roster, regions));
     Some(OverlayUpdate {
         relation: LinkRelation::from_number(update.relation)?,
         record: update
@@ -104,25 +105,25 @@
     })
 }
 
-fn wire_word(word: &RosterUpdate) -> VmRosterUpdate {
+fn wire_roster(roster: &RosterUpdate) -> VmRosterUpdate {
     VmRosterUpdate {
-        scope: word.scope.number(),
-        is_whole: word.is_whole,
-        vms: word.records.iter().map(vm_entry).collect(),
-        gone: word.gone.iter().map(ToString::to_string).collect(),
+        scope: roster.scope.number(),
+        is_whole: roster.is_whole,
+        vms: roster.records.iter().map(vm_entry).collect(),
+        gone: roster.gone.iter().map(ToString::to_string).collect(),
     }
 }
 
-fn read_word(word: &VmRosterUpdate, regions: &CenterRegions) -> Option<RosterUpdate> {
+fn read_roster(roster: &VmRosterUpdate, regions: &CenterRegions) -> Option<RosterUpdate> {
     Some(RosterUpdate {
-        scope: UpdateScope::from_number(word.scope)?,
-        is_whole: word.is_whole,
-        records: word
+        scope: UpdateScope::from_number(roster.scope)?,
+        is_whole: roster.is_whole,
+        records: roster
             .vms
             .iter()
             .filter_map(|entry| vm_record(entry, regions))
             .collect(),
-        gone: word
+        gone: roster
             .gone
             .iter()
             .filter_map(|name| name.parse().ok())
@@ -178,9 +179,9 @@
     }
 }
 
-/// Adds news of suspects to a message.
-pub(crate) fn wire_suspects(news: &SuspectUpdate, update: &mut VmUpdate) {
-    let requests = news.requests.iter();
+/// Adds changes of crash suspects to a message.
+pub(crate) fn wire_suspects(suspects: &SuspectUpdate, update: &mut VmUpdate) {
+    let requests = suspects.requests.iter();
     update.suspects = requests
         .map(|request| SuspectEntry {
             fingerprint: Bytes::copy_from_slice(request.fingerprint.as_bytes()),
@@ -190,7 +191,7 @@
             good_runs: request.good_runs,
         })
         .collect();
-    let lives = news.lives.iter();
+    let lives = suspects.lives.iter();
     update.lost_lives = lives
         .map(|life| LostInstanceEntry {
             life: life.life.number(),
@@ -200,7 +201,7 @@
         .collect();
 }
 
-/// News of suspects in a message, and the number of entries that make no sense.
+/// Extracts the changes of crash suspects from a message, and the number of malformed entries.
 pub(crate) fn read_suspects(update: &VmUpdate) -> (SuspectUpdate, u64) {
     let requests: Vec<RequestUpdate> = update.suspects.iter().filter_map(read_suspect).collect();
     let malformed = update.suspects.len() - requests.len();
@@ -209,11 +210,11 @@
         survivals: entry.survivals,
         lost: entry.lost_ms.map(read_millis),
     });
-    let news = SuspectUpdate {
+    let suspects = SuspectUpdate {
         requests,
         lives: lives.collect(),
     };
-    (news, malformed as u64)
+    (suspects, malformed as u64)
 }
 
 fn read_suspect(entry: &SuspectEntry) -> Option<RequestUpdate> {
@@ -235,7 +236,7 @@
     })
 }
 
-/// A time as messages carry it, in milliseconds.
+/// A duration in milliseconds, as messages carry it.
 pub(crate) fn wire_millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,7 +1,7 @@
-//! State that the tasks of one process share.
+//! State shared by the tasks of a gateway process.
 //!
-//! Each part has a cell of its own. A part is borrowed for one decision and
-//! never across an await.
+//! Each part of the state has its own cell. A task borrows a part for one decision and
+//! never holds the borrow across an await.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,25 +30,27 @@
 use crate::settings::GatewaySettings;
 use crate::share::StoreShare;
 use crate::store::StoreLink;
-use crate::suspects::SharedBoard;
+use crate::suspects::SharedSuspects;
 use crate::work_queries::WorkQueries;
 
-/// Look at what has changed by time alone: silence is noticed this much later.
-const TICK: Duration = Duration::from_millis(100);
-/// Silence after which another VM is not taken for alive: three signs of life.
-const SILENT_AFTER: Duration = Duration::from_millis(1300);
-/// Age up to which an aggregator's word on the fleet counts: both aggregators of a VM
-/// are missed after the silence above, and the next ones need a second to be complete.
-const FLEET_WORD_LIFE: Duration = Duration::from_secs(4);
-/// Silence after which another VM is forgotten. Until then it counts where limits are
-/// shared, and is looked for.
-const FORGET_AFTER: Duration = Duration::from_mins(2);
+/// Interval of the periodic check for changes that come with time alone. An unresponsive
+/// VM or server is detected up to this much later.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time without a heartbeat after which another VM counts as down: three heartbeats.
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1300);
+/// Age up to which an aggregator's summary of the fleet counts. A VM takes
+/// [`UNRESPONSIVE_AFTER`] to detect that both of its aggregators are down, and the next ones
+/// need a second to complete their summaries.
+const SUMMARY_LIFETIME: Duration = Duration::from_secs(4);
+/// Time without a heartbeat after which another VM is dropped from the roster. Until then
+/// it counts where limits are shared, and this VM tries to reconnect to it.
+const DROP_AFTER: Duration = Duration::from_mins(2);
 
-/// Age up to which a VM may not have heard of every other one. Greetings take three
-/// round trips, and lists of members spread within one more.
-const ALONE_FOR: Duration = Duration::from_millis(1500);
+/// Age up to which a VM may not have discovered every other VM. Handshakes take three
+/// round trips, and member lists spread within one more.
+const DISCOVERY_TIME: Duration = Duration::from_millis(1500);
 
-/// Names of VMs in one line of the log.
+/// Most VM names in one log line.
 const LOGGED_NAMES: usize = 6;
 
 /// Shared state of a gateway.
@@ -59,67 +61,68 @@
     pub(crate) table: RefCell<Option<Rc<RouteTable>>>,
     pub(crate) fleet: RefCell<FleetView>,
     pub(crate) mirror: RefCell<StoreMirror>,
-    /// This VM's end of the overlay: other VMs, and the work that they tell of.
+    /// This VM's node of the overlay: the other VMs and the work that they report.
     pub(crate) overlay: RefCell<OverlayNode>,
-    /// When this VM last looked at its own work to tell it.
+    /// When this VM last computed its own work for sending.
     pub(crate) own_work_at: Cell<Option<Moment>>,
-    /// Unknown headers by which servers describe themselves, as far as they were logged.
+    /// Unknown signal headers of servers that were already logged.
     pub(crate) unknown_signal_headers: RefCell<BTreeSet<String>>,
     pub(crate) relays: RefCell<RelayTable>,
     pub(crate) remote_table: RefCell<RemoteTable>,
-    /// Round trips to other regions.
+    /// Round-trip times to other regions.
     pub(crate) trips: RefCell<RoundTrips>,
-    /// Lengths of the answers of each route.
+    /// Response lengths by route.
     pub(crate) lengths: RefCell<ResponseLengths>,
     retries: RefCell<BTreeMap<ServiceName, RetryShare>>,
-    /// What teams use of their limits.
+    /// Usage of the team quotas.
     pub(crate) quotas: RefCell<QuotaTable>,
-    /// Versions that the operator moves services to.
+    /// Rollouts in progress.
     pub(crate) rollouts: RefCell<RolloutTable>,
-    /// Notified when the first roll-out is heard of.
+    /// Notified when the first rollout becomes known.
     pub(crate) rollout_known: Notify,
-    /// Steps of roll-outs as they were last logged.
+    /// Rollout phases as last logged.
     pub(crate) logged_phases: RefCell<BTreeMap<ServiceName, &'static str>>,
-    /// Requests that crash servers.
-    pub(crate) suspects: SharedBoard,
+    /// Requests suspected of crashing servers.
+    pub(crate) suspects: SharedSuspects,
     pub(crate) pool: ConnectionPool,
     pub(crate) store: RefCell<StoreLink>,
     pub(crate) share: RefCell<StoreShare>,
-    /// The order in which VMs watch the store, and the roster's changes that it is of.
+    /// Order in which VMs watch the store, with the roster change count that it was computed
+    /// from.
     pub(crate) watch_order: RefCell<Option<(u64, Rc<[VmName]>)>>,
-    /// This VM's copy of the store, cut into parts for others.
+    /// This VM's copy of the store, split into parts for other VMs.
     pub(crate) cached_parts: RefCell<CachedParts>,
-    /// A copy of the store that another VM is giving to this one.
+    /// Copy of the store that is being received from another VM.
     pub(crate) incoming_copy: RefCell<Option<IncomingCopy>>,
     pub(crate) metrics: GatewayMetrics,
-    pub(crate) stop_asked: Cell<Option<BootInstant>>,
+    pub(crate) shutdown_requested: Cell<Option<BootInstant>>,
     pub(crate) open_requests: Cell<usize>,
     pub(crate) open_streams: Cell<usize>,
-    /// Sends an update on every link that this VM has dialled at once.
-    /// Notified after a suspension.
+    /// Notified after a suspension of the VM.
     pub(crate) woken: Notify,
     pub(crate) suspension: Cell<SuspensionWatch>,
+    /// Notified to send an update on every link that this VM has dialled.
     pub(crate) send_updates_now: Notify,
     pub(crate) queries: WorkQueries,
-    /// Wakes what waits for a server that is taken for silent.
+    /// Notified when a server becomes unresponsive.
     pub(crate) silence: Notify,
-    /// Servers that were taken for silent when they were last looked at.
+    /// Servers that were unresponsive at the last check.
     pub(crate) unresponsive_servers: RefCell<BTreeSet<ServerId>>,
-    /// Sends changes of the store to the VMs that report to this one.
+    /// Notified to send store changes to the VMs that report to this one.
     pub(crate) send_deltas_now: Notify,
     pub(crate) rng: RefCell<StdRng>,
     next_attempt: Cell<u64>,
 }
 
-/// The time of day at the start of the process. Later jumps of that clock change nothing.
+/// Wall-clock time at the start of the process. Later jumps of that clock have no effect.
 fn unix_start() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
 }
 
-/// A number that is larger in a later life of a VM; should the clock have gone
-/// back, peers tell of the former life and a larger one is taken.
+/// Initial incarnation, which grows from one process of a VM to the next. If the clock was
+/// set back in between, peers report the former incarnation and a larger one is chosen.
 fn first_incarnation(start: Duration) -> Incarnation {
     Incarnation::new(u64::try_from(start.as_millis()).unwrap_or(u64::MAX))
 }
@@ -142,9 +145,9 @@
             status: VmStatus::default(),
         };
         let timing = RosterTiming {
-            unresponsive_after: SILENT_AFTER,
-            fleet_update_lifetime: FLEET_WORD_LIFE,
-            forget_after: FORGET_AFTER,
+            unresponsive_after: UNRESPONSIVE_AFTER,
+            fleet_update_lifetime: SUMMARY_LIFETIME,
+            forget_after: DROP_AFTER,
         };
         let overlay = OverlayNode::new(own, timing, settings.seeds.clone());
         let mut fleet = FleetView::new(place.clone());
@@ -171,7 +174,7 @@
             rollouts: RefCell::new(RolloutTable::new(place.region, unix_start)),
             rollout_known: Notify::new(),
             logged_phases: RefCell::default(),
-            suspects: SharedBoard::default(),
+            suspects: SharedSuspects::default(),
             pool: ConnectionPool::default(),
             store: RefCell::default(),
             share: RefCell::default(),
@@ -179,7 +182,7 @@
             cached_parts: RefCell::default(),
             incoming_copy: RefCell::default(),
             metrics: GatewayMetrics::default(),
-            stop_asked: Cell::new(None),
+            shutdown_requested: Cell::new(None),
             open_requests: Cell::new(0),
             open_streams: Cell::new(0),
             woken: Notify::new(),
@@ -195,17 +198,16 @@
         }
     }
 
-    /// Name of this VM.
     pub(crate) fn vm(&self) -> &VmName {
         &self.vm
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub(crate) fn settings(&self) -> Rc<GatewaySettings> {
         Rc::clone(&self.settings.borrow())
     }
 
-    /// Brings new settings into force.
+    /// Puts new settings into force.
     pub(crate) fn set_settings(&self, settings: GatewaySettings) {
         let mut fleet = self.fleet.borrow_mut();
         fleet.set_switches(settings.switches.clone());
@@ -215,87 +217,88 @@
         *self.settings.borrow_mut() = Rc::new(settings);
     }
 
-    /// Whether a mechanism of the decisions is on.
+    /// Whether `switch` is on in the settings.
     pub(crate) fn is_on(&self, switch: DecisionSwitch) -> bool {
         self.settings.borrow().switches.is_on(switch)
     }
 
-    /// How a connection is dialled that must be up within `limit`.
+    /// Returns how to dial a connection that must be established within `limit`.
     pub(crate) fn dial_plan(&self, limit: Duration) -> DialPlan {
         let source = self.settings.borrow().source;
         DialPlan { limit, source }
     }
 
-    /// Time since the start.
+    /// Time since the process started.
     pub(crate) fn now(&self) -> Moment {
         Moment::from_duration(self.started.elapsed())
     }
 
-    /// The configuration in force.
+    /// The configuration in force, if there is one.
     pub(crate) fn table(&self) -> Option<Rc<RouteTable>> {
         self.table.borrow().clone()
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether shutdown has begun.
     pub(crate) fn is_leaving(&self) -> bool {
-        self.stop_asked.get().is_some()
+        self.shutdown_requested.get().is_some()
     }
 
-    /// Whether callers may be sent here.
+    /// Whether the VM accepts requests from callers.
     pub(crate) fn is_ready(&self) -> bool {
         self.table.borrow().is_some() && !self.is_leaving()
     }
 
-    /// Streams under way.
+    /// Number of open streams.
     pub(crate) fn open_streams(&self) -> usize {
         self.open_streams.get()
     }
 
-    /// A number for a new attempt.
+    /// Returns an id for a new attempt.
     pub(crate) fn next_attempt(&self) -> u64 {
         let id = self.next_attempt.get();
         self.next_attempt.set(id + 1);
         id
     }
 
-    /// Notes that a request for a service came from a caller.
-    pub(crate) fn note_first(&self, service: &ServiceName) {
+    /// Records a first request to `service` for its retry budget.
+    pub(crate) fn record_first_request(&self, service: &ServiceName) {
         let now = self.now();
         let mut retries = self.retries.borrow_mut();
         retries.entry(service.clone()).or_default().note_first(now);
     }
 
-    /// Number of VMs, those lost lately included; none while this VM is too young to
-    /// have heard of all.
-    fn known_vms(&self) -> Option<usize> {
+    /// Number of VMs, including those lost recently. `None` until this VM is old enough to
+    /// have discovered all of them.
+    fn vm_count(&self) -> Option<usize> {
         let others = self.overlay.borrow().roster().others().count();
-        (self.started.elapsed() >= ALONE_FOR).then_some(others + 1)
+        (self.started.elapsed() >= DISCOVERY_TIME).then_some(others + 1)
     }
 
-    /// Takes one retry from the budget of a service.
+    /// Claims one retry from the retry budget of `service`.
     pub(crate) fn take_retry(&self, service: &ServiceName) -> bool {
         let now = self.now();
-        let vms = self.known_vms();
+        let vms = self.vm_count();
         let limits = self.settings().retries;
         let mut retries = self.retries.borrow_mut();
         let share = retries.entry(service.clone()).or_default();
         share.try_repeat(now, &limits, vms)
     }
 
-    /// Whether any other VM is known to live.
+    /// Whether any other VM is alive.
     pub(crate) fn has_live_peers(&self) -> bool {
         let overlay = self.overlay.borrow();
         overlay.roster().others().any(KnownVm::is_alive)
     }
 
-    /// Lets time count: silent VMs, missing items, idle connections.
+    /// Applies everything that depends on time alone: unresponsive VMs and servers, expired
+    /// entries, idle connections.
     fn tick(&self) {
         self.check_suspension(BootInstant::now());
         let now = self.now();
         self.overlay.borrow_mut().tick(now);
         self.apply_work(now);
         self.refresh_unresponsive(now);
-        self.tell_changes();
+        self.log_member_changes();
         self.refresh_status();
         self.refresh_quota_peers(now);
         self.refresh_suspects(now);
@@ -306,37 +309,38 @@
         };
         self.pass_on(base, &expired);
         self.apply_changes(expired);
-        self.pool.sweep();
+        self.pool.close_expired();
         let mut overlay = self.overlay.borrow_mut();
         let age = overlay.plan(now).knowledge_age();
         let roster = overlay.roster();
         let near = roster.others().filter(|vm| roster.is_near(&vm.record));
         let vms: Vec<VmName> = near.map(|vm| vm.record.name.clone()).collect();
         let mut fleet = self.fleet.borrow_mut();
-        fleet.set_alone(vms.is_empty() && self.started.elapsed() >= ALONE_FOR);
+        fleet.set_alone(vms.is_empty() && self.started.elapsed() >= DISCOVERY_TIME);
         fleet.set_region_vms(vms);
         fleet.resize_pools();
         fleet.set_knowledge_age(age);
     }
 
-    /// Logs which VMs have come to life or fallen silent.
-    fn tell_changes(&self) {
+    /// Logs which VMs have become alive or unresponsive.
+    fn log_member_changes(&self) {
         let mut overlay = self.overlay.borrow_mut();
-        let mut news = overlay.roster_mut().take_changes();
-        news.sort_unstable();
-        news.dedup();
-        if news.is_empty() {
+        let mut changed = overlay.roster_mut().take_changes();
+        changed.sort_unstable();
+        changed.dedup();
+        if changed.is_empty() {
             return;
         }
         let roster = overlay.roster();
         let is_alive = |vm: &&VmName| roster.get(vm).is_some_and(KnownVm::is_alive);
-        let (alive, silent): (Vec<&VmName>, Vec<&VmName>) = news.iter().partition(is_alive);
+        let (alive, unresponsive): (Vec<&VmName>, Vec<&VmName>) =
+            changed.iter().partition(is_alive);
         log::info!(
             known = roster.others().count(),
             alive = alive.len(),
-            silent = silent.len(),
+            silent = unresponsive.len(),
             first_alive:% = first_names(&alive),
-            first_silent:% = first_names(&silent);
+            first_silent:% = first_names(&unresponsive);
             "members changed"
         );
     }
@@ -351,12 +355,12 @@
     first.join(" ")
 }
 
-/// Starts the task that lets time count.
+/// Starts the task that runs [`Gateway::tick`] periodically.
 pub(crate) fn start_ticker(gateway: &Rc<Gateway>) {
     let gateway = Rc::clone(gateway);
     tokio::task::spawn_local(async move {
         loop {
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(TICK_INTERVAL).await;
             gateway.tick();
         }
     });
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -1,8 +1,8 @@
 //! Links between VMs: frames over TCP.
 //!
-//! The overlay plans which links this VM dials. On a link the VM that dialled it tells
-//! its updates at an interval that the relation asks for, and the other end answers
-//! those that want an answer. Changes of the store and copies of it go both ways.
+//! The overlay plans which links this VM dials. On each link, the dialling VM sends updates at
+//! an interval that depends on the link's relation, and the other end replies to those that
+//! need a reply. Store changes and copies of the store go both ways.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -32,24 +32,24 @@
 
 type FramedLink = Framed<TcpStream, PeerCodec>;
 
-/// Least limit of a dial, also to a VM next door: it may be without its processor
-/// for a tenth of a second.
-const LEAST_DIAL_LIMIT: Duration = Duration::from_millis(150);
-/// Pause before a link is dialled again.
-const DIAL_PAUSE: Duration = Duration::from_millis(500);
-/// The same while this VM is young: VMs that lost power together come back within
-/// some tenths of a second, and until a link is up no request can be sent away.
-const YOUNG_DIAL_PAUSE: Duration = Duration::from_millis(20);
-/// Pause between two looks for links that are planned and not there.
-const LOOK: Duration = Duration::from_millis(100);
-/// The same while this VM is young.
-const YOUNG_LOOK: Duration = Duration::from_millis(10);
-/// Age up to which a VM counts as young here.
-const YOUNG: Duration = Duration::from_secs(5);
-/// Bound on writing one frame; a peer that does not read loses its link.
-const SEND_LIMIT: Duration = Duration::from_secs(2);
+/// Lower bound of a dial timeout, even for a VM nearby: its process may not be scheduled for a
+/// tenth of a second.
+const MIN_DIAL_TIMEOUT: Duration = Duration::from_millis(150);
+/// Delay before a link is dialled again.
+const REDIAL_DELAY: Duration = Duration::from_millis(500);
+/// Delay before a link is dialled again during startup. VMs that lost power together come back
+/// within a few tenths of a second, and no request can be forwarded until a link is up.
+const STARTUP_REDIAL_DELAY: Duration = Duration::from_millis(20);
+/// Interval at which planned links that are not open are looked for.
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which planned links that are not open are looked for during startup.
+const STARTUP_PLAN_INTERVAL: Duration = Duration::from_millis(10);
+/// Time since the start of this VM that counts as startup here.
+const STARTUP_PERIOD: Duration = Duration::from_secs(5);
+/// Timeout for writing one frame. The link to a peer that does not read is closed.
+const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Starts dialling the links that are planned, now and later.
+/// Starts the task that dials the planned links, and goes on as the plan changes.
 pub(crate) fn start(gateway: &Rc<Gateway>) {
     let gateway = Rc::clone(gateway);
     tokio::task::spawn_local(async move {
@@ -61,19 +61,24 @@
                     let gateway = Rc::clone(&gateway);
                     let dialled = Rc::clone(&dialled);
                     tokio::task::spawn_local(async move {
-                        keep_link(&gateway, address).await;
+                        maintain_link(&gateway, address).await;
                         dialled.borrow_mut().remove(&address);
                     });
                 }
             }
-            let is_young = gateway.started.elapsed() < YOUNG;
-            tokio::time::sleep(if is_young { YOUNG_LOOK } else { LOOK }).await;
+            let is_starting = gateway.started.elapsed() < STARTUP_PERIOD;
+            tokio::time::sleep(if is_starting {
+                STARTUP_PLAN_INTERVAL
+            } else {
+                PLAN_INTERVAL
+            })
+            .await;
         }
     });
 }
 
 impl Gateway {
-    /// Whether this VM reports to an aggregator, from which it gets what others tell.
+    /// Whether this VM reports to an aggregator, which sends it the updates of other VMs.
     pub(crate) fn is_member(&self) -> bool {
         let now = self.now();
         self.overlay.borrow_mut().plan(now).primary().is_some()
@@ -89,36 +94,36 @@
         self.overlay.borrow_mut().plan(now).at(address).cloned()
     }
 
-    /// Time between two updates on a link, by what there is to tell.
-    fn tell_interval(&self, relation: LinkRelation, told: &UpdateSendState) -> Duration {
+    /// Time between two updates on a link, depending on what has changed.
+    fn send_interval(&self, relation: LinkRelation, sent: &UpdateSendState) -> Duration {
         let now = self.now();
         if relation == LinkRelation::Report {
             self.refresh_own_work(now);
         }
         let mut overlay = self.overlay.borrow_mut();
-        let has_changes = overlay.has_changes(relation, told.link());
+        let has_changes = overlay.has_changes(relation, sent.link());
         let is_dense = has_changes && self.is_on(DecisionSwitch::NearHeartbeats);
         overlay.plan(now).interval(relation, is_dense)
     }
 }
 
-/// Tells every VM at once of a change of this one; used when it leaves.
+/// Notifies every VM at once of a change of this VM's status; used at shutdown.
 pub(crate) fn tell_all(gateway: &Rc<Gateway>) {
     gateway.refresh_status();
     gateway.send_updates_now.notify_waiters();
 }
 
-/// Keeps a link as long as it is planned.
-async fn keep_link(gateway: &Rc<Gateway>, address: SocketAddr) {
+/// Keeps a link open as long as it is planned.
+async fn maintain_link(gateway: &Rc<Gateway>, address: SocketAddr) {
     let mut failures = 0;
     while let Some(planned) = gateway.planned_link(address) {
         let dialled = BootInstant::now();
-        let limit = dial_limit(gateway, &planned, failures);
-        match dial(address, gateway.dial_plan(limit)).await {
+        let timeout = dial_timeout(gateway, &planned, failures);
+        match dial(address, gateway.dial_plan(timeout)).await {
             Ok(stream) => {
                 failures = 0;
                 let ended = LinkEnd::new(gateway, stream)
-                    .tell(address, dialled.elapsed())
+                    .run_dialled(address, dialled.elapsed())
                     .await;
                 if let Err(e) = ended {
                     log::info!(address:% = address, error:% = e; "link lost");
@@ -126,29 +131,29 @@
             }
             Err(e) => {
                 failures += 1;
-                log::debug!("no link to {address}: {e}");
+                log::debug!("cannot dial {address}: {e}");
             }
         }
-        let is_young = gateway.started.elapsed() < YOUNG;
-        tokio::time::sleep(if is_young {
-            YOUNG_DIAL_PAUSE
+        let is_starting = gateway.started.elapsed() < STARTUP_PERIOD;
+        tokio::time::sleep(if is_starting {
+            STARTUP_REDIAL_DELAY
         } else {
-            DIAL_PAUSE
+            REDIAL_DELAY
         })
         .await;
     }
 }
 
-/// How long to wait for a link to come up, after `failures` in a row.
-fn dial_limit(gateway: &Gateway, planned: &PlannedLink, failures: u32) -> Duration {
+/// Timeout for dialling a link after `failures` failed attempts in a row.
+fn dial_timeout(gateway: &Gateway, planned: &PlannedLink, failures: u32) -> Duration {
     if !gateway.is_on(DecisionSwitch::EarlyDial) {
         return LATE_DIAL_LIMIT;
     }
     let overlay = gateway.overlay.borrow();
     let known = planned.vm.as_ref().and_then(|vm| overlay.roster().get(vm));
     let region = known.map(|vm| &vm.record.region);
-    let limit = gateway.trips.borrow().dial_limit(region, failures);
-    limit.max(LEAST_DIAL_LIMIT)
+    let timeout = gateway.trips.borrow().dial_limit(region, failures);
+    timeout.max(MIN_DIAL_TIMEOUT)
 }
 
 /// Accepts links that other VMs dial.
@@ -157,7 +162,7 @@
         let (stream, from) = accept(&listener).await;
         let gateway = Rc::clone(&gateway);
         tokio::task::spawn_local(async move {
-            if let Err(e) = LinkEnd::new(&gateway, stream).serve().await {
+            if let Err(e) = LinkEnd::new(&gateway, stream).run_accepted().await {
                 log::debug!("link from {from} ended: {e}");
             }
         });
@@ -168,15 +173,15 @@
 struct LinkEnd<'a> {
     gateway: &'a Rc<Gateway>,
     link: FramedLink,
-    /// The VM at the other end, once it has said who it is.
+    /// The VM at the other end, known after its hello.
     peer: Option<VmRecord>,
-    told: UpdateSendState,
-    /// What the other end last told on this link.
-    heard: Option<LinkRelation>,
+    sent: UpdateSendState,
+    /// Relation of the last update from the other end.
+    last_relation: Option<LinkRelation>,
     next_delta: u64,
-    /// Whether a choice waits for the answer to the next update.
-    asks: bool,
-    /// The copy of the store that the other end has asked for.
+    /// Whether a routing decision waits for the reply to the next update.
+    is_query_due: bool,
+    /// The copy of the store that the other end has requested.
     outgoing: OutgoingCopy,
 }
 
@@ -186,17 +191,21 @@
             gateway,
             link: Framed::new(stream, PeerCodec::default()),
             peer: None,
-            told: UpdateSendState::default(),
-            heard: None,
+            sent: UpdateSendState::default(),
+            last_relation: None,
             next_delta: gateway.share.borrow().next_number(),
-            asks: false,
+            is_query_due: false,
             outgoing: OutgoingCopy::default(),
         }
     }
 
-    /// Tells the VM at the other end of a link that was dialled in `took`, for as long
-    /// as the link is planned.
-    async fn tell(mut self, address: SocketAddr, took: Duration) -> Result<(), FrameError> {
+    /// Sends updates on a dialled link for as long as it is planned. `dial_time` is how long
+    /// dialling took.
+    async fn run_dialled(
+        mut self,
+        address: SocketAddr,
+        dial_time: Duration,
+    ) -> Result<(), FrameError> {
         self.send(hello(self.gateway)).await?;
         while let Some(planned) = self.gateway.planned_link(address) {
             if matches!(
@@ -208,11 +217,11 @@
                 self.next_delta = self.gateway.share.borrow().next_number();
             }
             let is_report = planned.relation == LinkRelation::Report;
-            let asks = std::mem::take(&mut self.asks);
-            self.send_update(planned.relation, asks).await?;
-            let told = tokio::time::Instant::now();
+            let is_query = std::mem::take(&mut self.is_query_due);
+            self.send_update(planned.relation, is_query).await?;
+            let sent_at = tokio::time::Instant::now();
             loop {
-                let until = told + self.gateway.tell_interval(planned.relation, &self.told);
+                let until = sent_at + self.gateway.send_interval(planned.relation, &self.sent);
                 let was_known = self.peer.is_some();
                 let has_part = self.outgoing.has_next();
                 let frame = tokio::select! {
@@ -222,8 +231,8 @@
                     }
                     () = tokio::time::sleep_until(until) => break,
                     () = self.gateway.send_updates_now.notified() => break,
-                    () = self.gateway.queries.ask_now.notified(), if is_report => {
-                        self.asks = true;
+                    () = self.gateway.queries.query_now.notified(), if is_report => {
+                        self.is_query_due = true;
                         break;
                     }
                     () = self.gateway.queries.own_changed.notified(), if is_report => {
@@ -232,25 +241,25 @@
                     }
                     frame = self.link.next() => frame,
                 };
-                self.take(frame.ok_or(FrameError::Closed)??).await?;
+                self.receive(frame.ok_or(FrameError::Closed)??).await?;
                 if let (false, Some(peer)) = (was_known, &self.peer) {
                     let mut trips = self.gateway.trips.borrow_mut();
-                    trips.note(&peer.region, took);
+                    trips.note(&peer.region, dial_time);
                 }
             }
         }
         Ok(())
     }
 
-    /// Answers the VM that dialled the link.
-    async fn serve(mut self) -> Result<(), FrameError> {
-        // When this VM told its sum last, if the other one is a member of it.
-        let mut told_sum: Option<tokio::time::Instant> = None;
+    /// Replies to the VM that dialled the link.
+    async fn run_accepted(mut self) -> Result<(), FrameError> {
+        // When this VM last sent its digest, if the other VM is a member of it.
+        let mut digest_sent_at: Option<tokio::time::Instant> = None;
         loop {
             let has_part = self.outgoing.has_next();
-            let is_member = told_sum.is_some();
-            let due = told_sum
-                .map(|told| told + self.gateway.tell_interval(LinkRelation::Digest, &self.told));
+            let is_member = digest_sent_at.is_some();
+            let due = digest_sent_at
+                .map(|at| at + self.gateway.send_interval(LinkRelation::Digest, &self.sent));
             let frame = tokio::select! {
                 frame = self.link.next() => frame,
                 () = tokio::task::yield_now(), if has_part => {
@@ -264,96 +273,104 @@
                     continue;
                 }
                 () = self.gateway.queries.changed.notified(), if is_member => continue,
-                () = wait_due(self.gateway, due), if is_member => {
+                () = wait_until_due(self.gateway, due), if is_member => {
                     self.send_update(LinkRelation::Digest, false).await?;
-                    told_sum = Some(tokio::time::Instant::now());
+                    digest_sent_at = Some(tokio::time::Instant::now());
                     continue;
                 }
             };
             let Some(frame) = frame else {
-                self.end();
+                self.record_closed();
                 return Ok(());
             };
             let is_greeted = self.peer.is_some();
-            let told = self.take(frame?).await?;
+            let received = self.receive(frame?).await?;
             if !is_greeted {
                 self.send(hello(self.gateway)).await?;
             }
-            if let Some(told) = told {
-                if told.relation == Some(LinkRelation::Report) {
+            if let Some(received) = received {
+                if received.relation == Some(LinkRelation::Report) {
                     self.send_deltas(DeltaAudience::Members).await?;
                 } else {
-                    // It hears of changes elsewhere. Should it report here later, those of
-                    // now would be old, and have been undone since.
+                    // The other VM gets changes elsewhere. If it reports here later, the
+                    // changes queued now would be outdated, and later changes may have reverted
+                    // them.
                     self.next_delta = self.gateway.share.borrow().next_number();
-                    told_sum = None;
+                    digest_sent_at = None;
                 }
-                let is_sum = told.answer == Some(LinkRelation::Digest);
-                let waits = is_sum && told_sum.is_some() && !told.asks;
-                if let Some(answer) = told.answer.filter(|_| !waits) {
+                let is_digest = received.answer == Some(LinkRelation::Digest);
+                let is_deferred = is_digest && digest_sent_at.is_some() && !received.is_query;
+                if let Some(answer) = received.answer.filter(|_| !is_deferred) {
                     self.send_update(answer, false).await?;
-                    told_sum = is_sum.then(tokio::time::Instant::now);
+                    digest_sent_at = is_digest.then(tokio::time::Instant::now);
                 }
             }
         }
     }
 
-    /// Notes that the other end has closed the link.
-    fn end(&self) {
-        if let (Some(peer), Some(relation)) = (&self.peer, self.heard) {
+    /// Records that the other end has closed the link.
+    fn record_closed(&self) {
+        if let (Some(peer), Some(relation)) = (&self.peer, self.last_relation) {
             let now = self.gateway.now();
             let mut overlay = self.gateway.overlay.borrow_mut();
             overlay.end_link(now, &peer.name, relation);
         }
     }
 
-    /// Takes one frame; the first one must say who is at the other end.
-    async fn take(&mut self, frame: PeerFrame) -> Result<Option<UpdateReceiveState>, FrameError> {
+    /// Handles one frame. The first one must be a hello that identifies the other VM.
+    async fn receive(
+        &mut self,
+        frame: PeerFrame,
+    ) -> Result<Option<UpdateReceiveState>, FrameError> {
         let Some(peer) = self.peer.as_ref().map(|peer| peer.name.clone()) else {
-            let peer = take_hello(self.gateway, frame).ok_or(FrameError::Closed)?;
+            let peer = receive_hello(self.gateway, frame).ok_or(FrameError::Closed)?;
             self.peer = Some(peer);
             return Ok(None);
         };
         match frame.payload {
             Some(PeerPayload::Update(update)) => {
-                return self.take_update(&peer, &update).await.map(Some);
+                return self.receive_update(&peer, &update).await.map(Some);
             }
             Some(PeerPayload::SnapshotRequest(request)) => {
                 let copy = self.gateway.own_copy();
                 self.outgoing.begin(copy, request.takes_packed);
             }
-            Some(PeerPayload::Snapshot(part)) => self.gateway.take_copy_part(&peer, part),
-            Some(PeerPayload::Delta(delta)) => self.gateway.take_delta(&peer, delta),
+            Some(PeerPayload::Snapshot(part)) => self.gateway.apply_copy_part(&peer, part),
+            Some(PeerPayload::Delta(delta)) => self.gateway.apply_delta(&peer, delta),
             other => log::debug!("unexpected frame on a link: {other:?}"),
         }
         Ok(None)
     }
 
-    async fn take_update(
+    async fn receive_update(
         &mut self,
         peer: &VmName,
         update: &VmUpdate,
     ) -> Result<UpdateReceiveState, FrameError> {
-        let taken = self.gateway.take_update(peer, update);
-        let taken = taken.ok_or(FrameError::Closed)?;
-        self.heard = taken.relation.or(self.heard);
-        if self.gateway.asks_copy_of(peer) {
+        let received = self.gateway.apply_update(peer, update);
+        let received = received.ok_or(FrameError::Closed)?;
+        self.last_relation = received.relation.or(self.last_relation);
+        if self.gateway.should_request_copy(peer) {
             let request = PeerPayload::SnapshotRequest(SnapshotRequest { takes_packed: true });
             self.send(request).await?;
         }
-        Ok(taken)
+        Ok(received)
     }
 
-    async fn send_update(&mut self, relation: LinkRelation, asks: bool) -> Result<(), FrameError> {
+    async fn send_update(
+        &mut self,
+        relation: LinkRelation,
+        is_query: bool,
+    ) -> Result<(), FrameError> {
         let peer = self.peer.as_ref().map(|peer| &peer.name);
-        let mut update = self.gateway.make_update(relation, peer, &mut self.told);
-        update.asks = asks;
+        let mut update = self.gateway.make_update(relation, peer, &mut self.sent);
+        update.asks = is_query;
         self.send(PeerPayload::Update(Box::new(update))).await
     }
 
-    /// Sends the next part of the copy that the other end has asked for.
+    /// Sends the next part of the copy that the other end has requested.
     async fn send_part(&mut self) -> Result<(), FrameError> {
-        let part = self.outgoing.take_next();
+        let part = self.outgoing.pop_next();
         if let Some(part) = part.map_err(FrameError::Packed)? {
             let metrics = &self.gateway.metrics;
             metrics.count_more("onyxfall_copy_bytes_sent_total", part.bytes() as u64);
@@ -376,13 +393,13 @@
     }
 
     async fn send(&mut self, payload: PeerPayload) -> Result<(), FrameError> {
-        let sent = tokio::time::timeout(SEND_LIMIT, self.link.send(payload.into())).await;
+        let sent = tokio::time::timeout(SEND_TIMEOUT, self.link.send(payload.into())).await;
         sent.map_err(|_| FrameError::Io(std::io::ErrorKind::TimedOut.into()))?
     }
 }
 
-/// Waits until the sum for a member is due, or this VM has something urgent to tell.
-async fn wait_due(gateway: &Gateway, due: Option<tokio::time::Instant>) {
+/// Waits until the digest for a member is due or this VM has an urgent change to send.
+async fn wait_until_due(gateway: &Gateway, due: Option<tokio::time::Instant>) {
     let Some(due) = due else { return };
     tokio::select! {
         () = tokio::time::sleep_until(due) => {}
@@ -401,13 +418,13 @@
     })
 }
 
-/// Takes a greeting; none if it is not one of this protocol.
-fn take_hello(gateway: &Gateway, frame: PeerFrame) -> Option<VmRecord> {
+/// Handles a hello. Returns `None` if the frame is not a hello of this protocol version.
+fn receive_hello(gateway: &Gateway, frame: PeerFrame) -> Option<VmRecord> {
     let Some(PeerPayload::Hello(hello)) = frame.payload else {
         return None;
     };
     if hello.protocol != PROTOCOL_VERSION {
-        log::warn!(protocol = hello.protocol; "peer of another protocol refused");
+        log::warn!(protocol = hello.protocol; "rejected a peer with another protocol version");
         return None;
     }
     let settings = gateway.settings();
--- a/crates/gateway/src/listen.rs
+++ b/crates/gateway/src/listen.rs
@@ -1,4 +1,4 @@
-//! The ports of a gateway and what is served on each.
+//! The listening ports of a gateway and their HTTP handlers.
 
 use std::cell::OnceCell;
 use std::convert::Infallible;
@@ -24,30 +24,30 @@
 
 use crate::body::ReplyBody;
 use crate::call::{CallContext, CallOrigin, CallRules, ResponseRule};
-use crate::connection::watch_peer;
+use crate::connection::set_socket_options;
 use crate::directory::handle_directory;
 use crate::gateway::Gateway;
 use crate::links::serve_links;
 use crate::relay::handle_relayed;
 use crate::serve::{CallFailure, serve};
-use crate::stop::{accepts, closes_connections, wait_for_close};
+use crate::shutdown::{accepts, closes_connections, wait_for_close};
 use crate::teams::{QuotaCharge, admit, identify};
 
-/// Connections that may wait to be accepted.
+/// Most connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
-/// Idle limit and head size until a configuration names them.
+/// Idle timeout and head size limit until a configuration sets them.
 const DEFAULT_IDLE: Duration = Duration::from_secs(15);
 const DEFAULT_HEAD: usize = 16 * 1024;
-/// The smallest buffer that hyper takes.
-const LEAST_BUFFER: usize = 8 * 1024;
-/// Pause after the system had no descriptor for a new connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Pause told to a caller that comes before the first configuration.
+/// Smallest buffer size that hyper accepts.
+const MIN_BUFFER: usize = 8 * 1024;
+/// Pause after the system ran out of descriptors for a new connection.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Retry delay sent to a caller before the first configuration is loaded.
 const NOT_READY_RETRY: Duration = Duration::from_millis(500);
-/// Step between the urgencies of two priorities, so that the order of admission
-/// in a model server follows the route's rank; 5 stands for none.
+/// Step between the urgencies of two priorities, so that the admission order of a model
+/// server follows the route's rank. 5 stands for none.
 const URGENCY_STEP: u8 = 2;
-/// Urgency of the highest priority, and the last that there is.
+/// Urgency of the highest priority, and the last urgency.
 const FIRST_URGENCY: u8 = 3;
 const LAST_URGENCY: u8 = 9;
 
@@ -59,7 +59,7 @@
     Relay,
 }
 
-/// Opens every port and starts serving.
+/// Binds all ports and starts serving them.
 pub(crate) fn start(gateway: &Rc<Gateway>) -> io::Result<()> {
     let settings = gateway.settings();
     let ports = [
@@ -86,19 +86,19 @@
         .map_err(|e| io::Error::new(e.kind(), format!("cannot listen on {address}: {e}")))
 }
 
-/// Accepts the next connection; waits while the system has no descriptor left.
+/// Accepts the next connection, and waits while the system has no descriptor left.
 pub(crate) async fn accept(listener: &TcpListener) -> (TcpStream, SocketAddr) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
-                if let Err(e) = watch_peer(&stream) {
-                    log::warn!(error:% = e; "socket option refused");
+                if let Err(e) = set_socket_options(&stream) {
+                    log::warn!(error:% = e; "cannot set the socket options");
                 }
                 return (stream, from);
             }
             Err(e) => {
-                log::warn!(error:% = e; "no connection accepted");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!(error:% = e; "cannot accept a connection");
+                tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
@@ -140,7 +140,7 @@
         .timer(TokioTimer::new())
         .header_read_timeout(idle)
         .auto_date_header(false)
-        .max_buf_size(head.max(LEAST_BUFFER))
+        .max_buf_size(head.max(MIN_BUFFER))
         .serve_connection(TokioIo::new(stream), service);
     tokio::task::spawn_local(async move {
         let mut connection = std::pin::pin!(connection);
@@ -152,16 +152,16 @@
             }
         };
         if let Err(e) = ended {
-            log::debug!("a connection to this VM ended: {e}");
+            log::debug!("an incoming connection ended: {e}");
         }
     });
 }
 
-/// Counts a request as open while it lives.
+/// Counts a request as open until dropped.
 pub(crate) struct OpenRequest(Rc<Gateway>);
 
 impl OpenRequest {
-    /// Counts one more.
+    /// Counts one more open request.
     pub(crate) fn start(gateway: &Rc<Gateway>) -> Self {
         gateway.open_requests.set(gateway.open_requests.get() + 1);
         Self(Rc::clone(gateway))
@@ -185,9 +185,9 @@
     let request_id = head.as_ref().map(|head| head.request_id.clone());
     let result = match read_request(&gateway, request, head, arrived).await {
         Ok((call, charge)) => {
-            gateway.note_first(&call.needs.service);
+            gateway.record_first_request(&call.needs.service);
             let served = serve(&gateway, &Rc::new(call)).await;
-            settle(charge, &served);
+            refund_if_not_run(charge, &served);
             served
         }
         Err(error) => {
@@ -203,7 +203,7 @@
             Err(error.into())
         }
     };
-    let mut response = result.unwrap_or_else(|failure| refusal(&failure.error));
+    let mut response = result.unwrap_or_else(|failure| rejection(&failure.error));
     if closes_connections(&gateway) {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
@@ -211,16 +211,19 @@
     response
 }
 
-/// Gives back what a request counted that did not run.
-fn settle(charge: Option<QuotaCharge>, served: &Result<Response<ReplyBody>, CallFailure>) {
+/// Refunds the quota charge of a request that did not run.
+fn refund_if_not_run(
+    charge: Option<QuotaCharge>,
+    served: &Result<Response<ReplyBody>, CallFailure>,
+) {
     let has_not_run = matches!(served, Err(failure) if failure.error.verdict == RunVerdict::NotRun);
     if let (true, Some(charge)) = (has_not_run, charge) {
-        charge.give_back();
+        charge.refund();
     }
 }
 
-/// Reads a request whole, matches it to its route and its team, and counts it against
-/// the team's limit.
+/// Receives a whole request, matches it to its route and team, and charges it to the quota
+/// of the team.
 async fn read_request(
     gateway: &Rc<Gateway>,
     request: Request<Incoming>,
@@ -229,17 +232,17 @@
 ) -> Result<(CallContext, Option<QuotaCharge>), RequestError> {
     let (head, body) = request.into_parts();
     let table = gateway.table().ok_or_else(|| {
-        RequestError::not_run(RefusalReason::NotReady, "no configuration yet")
+        RequestError::not_run(RefusalReason::NotReady, "no configuration is loaded yet")
             .with_retry_after(NOT_READY_RETRY)
     })?;
     let call = call.ok_or_else(|| {
         RequestError::not_run(
             RefusalReason::BadRequest,
-            "a request needs a host and an id",
+            "the request lacks a host or an id",
         )
     })?;
     let rule = table.find(&call.host, head.uri.path()).ok_or_else(|| {
-        RequestError::not_run(RefusalReason::UnknownKind, "no route takes this path")
+        RequestError::not_run(RefusalReason::UnknownKind, "no route matches the path")
     })?;
     let team = identify(&table, rule, call.credential)?;
     let time_left = call
@@ -247,9 +250,9 @@
         .map_or(rule.timeout, |left| left.min(rule.timeout));
     let team = team.and_then(|id| Some((table.teams()?, id)));
     let team_rule = team.map(|(teams, id)| teams.rule(id));
-    let needs = needs_of(gateway, &table, rule, team_rule, &call, time_left);
+    let needs = call_requirements(gateway, &table, rule, team_rule, &call, time_left);
     if !accepts(gateway, time_left) {
-        let error = RequestError::not_run(RefusalReason::Stopping, "this VM is stopping");
+        let error = RequestError::not_run(RefusalReason::Stopping, "this VM is shutting down");
         return Err(error.with_retry_after(Duration::from_millis(50)));
     }
     let charge = match team {
@@ -259,7 +262,7 @@
     let body = match read_body(body, table.limits().max_body, time_left).await {
         Ok(body) => body,
         Err(error) => {
-            charge.into_iter().for_each(QuotaCharge::give_back);
+            charge.into_iter().for_each(QuotaCharge::refund);
             return Err(error);
         }
     };
@@ -275,7 +278,7 @@
         version: table.version(),
         rules: CallRules {
             repeatable: rule.is_repeatable(),
-            answer: answer_rule(rule),
+            response: response_rule(rule),
             max_attempts: rule.max_attempts,
         },
         needs,
@@ -290,7 +293,7 @@
     Ok((call, charge))
 }
 
-fn answer_rule(rule: &RouteRule) -> ResponseRule {
+fn response_rule(rule: &RouteRule) -> ResponseRule {
     match rule.shape {
         ResponseShape::Whole => ResponseRule::Whole,
         ResponseShape::Stream {
@@ -300,7 +303,7 @@
     }
 }
 
-fn needs_of(
+fn call_requirements(
     gateway: &Gateway,
     table: &RouteTable,
     rule: &RouteRule,
@@ -326,7 +329,7 @@
     }
 }
 
-/// Reads a body of at most `limit` bytes.
+/// Receives a body of at most `limit` bytes.
 pub(crate) async fn read_body(
     body: Incoming,
     limit: usize,
@@ -340,23 +343,23 @@
             "the body is too large",
         )),
         Ok(Err(e)) => {
-            let detail = format!("the body broke off: {e}");
+            let detail = format!("cannot receive the body: {e}");
             Err(RequestError::not_run(RefusalReason::BadRequest, detail))
         }
         Err(_) => Err(RequestError::not_run(
             RefusalReason::Deadline,
-            "the body came too slowly",
+            "the body was not received before the deadline",
         )),
     }
 }
 
-/// The status of a refusal. 503 promises that the request did not run; 502 and
-/// 504 promise nothing.
-fn refusal_status(error: &RequestError) -> StatusCode {
-    let usual = StatusCode::from_u16(error.reason.status());
-    let usual = usual.unwrap_or(StatusCode::BAD_GATEWAY);
+/// Status code of a rejection. 503 promises that the request did not run; 502 and 504
+/// promise nothing.
+fn rejection_status(error: &RequestError) -> StatusCode {
+    let default = StatusCode::from_u16(error.reason.status());
+    let default = default.unwrap_or(StatusCode::BAD_GATEWAY);
     match error.verdict {
-        RunVerdict::NotRun if usual.is_client_error() => usual,
+        RunVerdict::NotRun if default.is_client_error() => default,
         RunVerdict::NotRun => StatusCode::SERVICE_UNAVAILABLE,
         RunVerdict::MayHaveRun | RunVerdict::Ran if error.reason == RefusalReason::Deadline => {
             StatusCode::GATEWAY_TIMEOUT
@@ -365,8 +368,8 @@
     }
 }
 
-fn refusal(error: &RequestError) -> Response<ReplyBody> {
-    let status = refusal_status(error);
+fn rejection(error: &RequestError) -> Response<ReplyBody> {
+    let status = rejection_status(error);
     let mut response = Response::new(ReplyBody::whole(format!("{error}\n")));
     *response.status_mut() = status;
     let headers = response.headers_mut();
@@ -376,11 +379,11 @@
     if status == StatusCode::UNAUTHORIZED {
         headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
     }
-    let promises = [
+    let retryable = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
     ];
-    if let (true, Some(after)) = (promises.contains(&status), error.retry_after) {
+    if let (true, Some(after)) = (retryable.contains(&status), error.retry_after) {
         let seconds = format!("{:.3}", after.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             headers.insert(RETRY_AFTER, value);
