--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,11 +1,10 @@
-//! The `onyxfall-gateway` program: serves callers of one entry VM on a platform
-//! whose store holds the configuration and the list of backend servers.
+//! The `onyxfall-gateway` program: serves the callers of one entry VM on a platform whose
+//! store holds the configuration and the list of backend servers.
 //!
-//! One event loop per process. State is one [`gateway::Gateway`] that the tasks
-//! of the loop share; it is borrowed for a decision and never across an await.
-//! Only the writer of logs has a thread of its own.
+//! A process runs one event loop. Its tasks share one [`gateway::Gateway`], which is
+//! borrowed for a decision and never across an await. Only log output has a thread of its
+//! own.
 
-mod asking;
 mod attempt;
 mod backup;
 mod body;
@@ -20,7 +19,6 @@
 mod links;
 mod listen;
 mod metrics;
-mod news;
 mod open;
 mod pool;
 mod relay;
@@ -31,16 +29,18 @@
 mod serve;
 mod settings;
 mod share;
-mod silence;
-mod stop;
+mod shutdown;
+mod signals;
 mod store;
+mod store_changes;
 mod store_client;
 mod stream;
 mod suspects;
 mod suspension;
 mod teams;
+mod unresponsive;
 mod updates;
-mod words;
+mod work_queries;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -80,7 +80,7 @@
     let path = arguments
         .settings
         .or_else(|| std::env::var_os(onyxfall_adapter::SETTINGS_VARIABLE).map(PathBuf::from))
-        .ok_or_else(|| miette::miette!("no settings file: give --settings"))?;
+        .ok_or_else(|| miette::miette!("no settings file; pass --settings"))?;
     let settings = load_settings(&path)?;
     if arguments.check_settings {
         println!("{}: no fault; {}", path.display(), settings.switches);
@@ -102,7 +102,7 @@
         reload::start(&gateway, path);
         let switches = gateway.settings().switches.clone();
         log::info!(vm = gateway.vm().as_str(), decisions:% = switches; "started");
-        stop::run(&gateway).await;
+        shutdown::run(&gateway).await;
         Ok::<(), std::io::Error>(())
     });
     log::logger().flush();
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and times, as Prometheus text.
+//! Counters and latency histograms in the Prometheus text format.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,22 +8,22 @@
 use hdrhistogram::Histogram;
 
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.95, 0.99];
-/// Highest recorded time in microseconds, two minutes.
+/// Largest recorded time in microseconds: two minutes.
 const MAX_MICROS: u64 = 120_000_000;
 
-/// Teams with counters of their own; those that come later are counted as `other`. A
-/// line is some 70 bytes, so that a thousand teams cost 150 KB a reading.
-pub(crate) const MOST_TEAMS: usize = 1000;
+/// Most teams with counters of their own; later teams are counted as `other`. A line is
+/// some 70 bytes, so that a thousand teams add 150 KB to a scrape.
+pub(crate) const MAX_TEAMS: usize = 1000;
 
-/// What became of units that a team asked for.
+/// Quota outcome of requested units.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum QuotaOutcome {
-    /// They were within the limit.
+    /// The units were within the limit.
     Admitted,
-    /// They were beyond it.
+    /// The units were beyond the limit.
     Refused,
-    /// They were within it, and given back since nothing ran.
-    GivenBack,
+    /// The units were within the limit and refunded because nothing ran.
+    Refunded,
 }
 
 impl QuotaOutcome {
@@ -31,7 +31,7 @@
         match self {
             Self::Admitted => "admitted",
             Self::Refused => "refused",
-            Self::GivenBack => "given-back",
+            Self::Refunded => "given-back",
         }
     }
 }
@@ -42,14 +42,14 @@
     ends: RefCell<BTreeMap<(String, String), u64>>,
     times: RefCell<BTreeMap<String, Histogram<u64>>>,
     counters: RefCell<BTreeMap<&'static str, u64>>,
-    /// Calls to the store by their cause.
+    /// Calls to the store by cause.
     store_calls: RefCell<BTreeMap<&'static str, u64>>,
-    /// Units of teams' limits.
+    /// Quota units by team and outcome.
     team_units: RefCell<BTreeMap<String, BTreeMap<QuotaOutcome, u64>>>,
 }
 
 impl GatewayMetrics {
-    /// Counts the end of a request of a route.
+    /// Records the end of a request of `route`.
     pub(crate) fn note_end(&self, route: &str, outcome: &str, age: Duration) {
         let key = (route.to_owned(), outcome.to_owned());
         *self.ends.borrow_mut().entry(key).or_default() += 1;
@@ -70,7 +70,7 @@
         self.count_more(name, 1);
     }
 
-    /// Counts events.
+    /// Counts `events` events.
     pub(crate) fn count_more(&self, name: &'static str, events: u64) {
         if events > 0 {
             *self.counters.borrow_mut().entry(name).or_default() += events;
@@ -82,17 +82,17 @@
         *self.store_calls.borrow_mut().entry(cause).or_default() += 1;
     }
 
-    /// Counts units of a team's limit.
+    /// Counts units of a team's quota.
     pub(crate) fn count_team(&self, team: &str, outcome: QuotaOutcome, units: u64) {
         let mut teams = self.team_units.borrow_mut();
-        let is_known = teams.contains_key(team) || teams.len() < MOST_TEAMS;
+        let is_known = teams.contains_key(team) || teams.len() < MAX_TEAMS;
         let label = if is_known { team } else { "other" };
         let counts = teams.entry(label.to_owned()).or_default();
         let count = counts.entry(outcome).or_default();
         *count = count.saturating_add(units);
     }
 
-    /// Everything as text.
+    /// Renders all metrics.
     pub(crate) fn render(&self) -> String {
         let mut out = String::new();
         for ((route, outcome), count) in self.ends.borrow().iter() {
--- a/crates/gateway/src/open.rs
+++ b/crates/gateway/src/open.rs
@@ -1,4 +1,4 @@
-//! An attempt under way at a server: its bookkeeping ends with its owner.
+//! Accounting of an attempt in progress at a server; it ends when its owner is dropped.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,26 +12,26 @@
 use crate::report::millis;
 use crate::suspects::SuspectRun;
 
-/// Books an attempt at a server until it is finished or dropped. A drop without
-/// a result (the caller left) says nothing about the server.
+/// Accounts for an attempt at a server until it is finished or dropped. A drop without a
+/// result (the caller disconnected) counts neither for nor against the server.
 pub(crate) struct OpenAttempt {
     gateway: Rc<Gateway>,
     call: SharedCall,
     server: ServerId,
     id: u64,
     started: Moment,
-    /// Whether it runs the request from its start: the rest of a stream may end well
-    /// before its server crashes under it.
+    /// Whether the attempt runs the request from its start. The rest of a resumed stream may
+    /// complete before the server crashes under it.
     is_from_start: bool,
     is_finished: bool,
-    /// How many times slower than usual its first byte came.
+    /// Slowdown of the first byte against the usual time.
     ratio: Cell<Option<f64>>,
-    /// Counts the run where its request was on a server that broke off.
+    /// Counts the run if its request has been lost with a server before.
     suspect: Option<SuspectRun>,
 }
 
 impl OpenAttempt {
-    /// Books a new attempt.
+    /// Records the start of an attempt.
     pub(crate) fn start(
         gateway: &Rc<Gateway>,
         server: ServerId,
@@ -59,25 +59,25 @@
         }
     }
 
-    /// Its server.
+    /// The server that runs the attempt.
     pub(crate) fn server(&self) -> ServerId {
         self.server
     }
 
-    /// When it was booked, which is before anything was sent.
+    /// When the attempt was recorded, which is before anything was sent.
     pub(crate) fn started(&self) -> Moment {
         self.started
     }
 
-    /// Notes that more of the answer has come.
+    /// Records that more of the response has been received.
     pub(crate) fn record_liveness(&self) {
         let now = self.gateway.now();
         let mut fleet = self.gateway.fleet.borrow_mut();
         fleet.server_mut(self.server).record_liveness(now);
     }
 
-    /// Notes the first byte of the answer.
-    pub(crate) fn answer(&self) {
+    /// Records the first byte of the response.
+    pub(crate) fn record_first_byte(&self) {
         let now = self.gateway.now();
         let mut fleet = self.gateway.fleet.borrow_mut();
         let ratio = fleet.note_answer(now, self.server, self.id);
@@ -90,7 +90,7 @@
         self.finish_stream(result, None);
     }
 
-    /// Ends the attempt with a result; `events` of its answer have come.
+    /// Ends the attempt with a result after `events` events of a stream.
     pub(crate) fn finish_stream(&mut self, result: AttemptResult, events: Option<u32>) {
         if self.is_finished {
             return;
@@ -100,11 +100,11 @@
         self.suspect = None;
         match result {
             AttemptResult::Broken => {
-                self.tell_lost(now, events);
-                self.gateway.note_lost_run(now, &self.call, self.server);
+                self.log_lost_run(now, events);
+                self.gateway.record_lost_run(now, &self.call, self.server);
             }
             AttemptResult::Succeeded if self.is_from_start => {
-                self.gateway.note_good_run(&self.call);
+                self.gateway.record_completed_run(&self.call);
             }
             _ => {}
         }
@@ -113,7 +113,7 @@
         if result == AttemptResult::Broken && events.is_some() {
             fleet.note_crash(now, self.server);
         }
-        let pace = fleet.end_attempt(now, self.server, self.id, result, events);
+        let interval_ratio = fleet.end_attempt(now, self.server, self.id, result, events);
         let state = fleet.server(self.server);
         let is_trusted = state.is_trusted(now);
         if was_trusted != is_trusted {
@@ -122,21 +122,21 @@
                 trusted = is_trusted,
                 result:? = result,
                 slowness = state.slowness(now);
-                "server judged anew"
+                "trust in a server changed"
             );
         }
         drop(fleet);
         let ratio = self.ratio.get();
-        let ratio = ratio.map(|ratio| ratio.max(pace.unwrap_or_default()));
+        let ratio = ratio.map(|ratio| ratio.max(interval_ratio.unwrap_or_default()));
         self.gateway
             .record_outcome(&self.call, self.server, result, ratio);
     }
 }
 
 impl OpenAttempt {
-    /// Logs a run that broke off. The fingerprint shows whether the same request was on
-    /// other servers that broke off, whatever ids its callers gave it.
-    fn tell_lost(&self, now: Moment, events: Option<u32>) {
+    /// Logs a run whose connection was lost. The fingerprint shows whether the same request was
+    /// lost with other servers, whatever ids its callers gave it.
+    fn log_lost_run(&self, now: Moment, events: Option<u32>) {
         let fleet = self.gateway.fleet.borrow();
         let server = fleet.server(self.server);
         log::info!(
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,7 +1,7 @@
-//! Kept connections by address.
+//! Pool of idle connections by address.
 //!
-//! The connection used last is used first, so that those beyond the need grow
-//! old and close before the other side closes them.
+//! The most recently used connection is reused first, so that connections beyond the need
+//! expire here before the other side closes them.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -11,80 +11,84 @@
 use crate::connection::HttpConnection;
 use onyxfall_clock::BootInstant;
 
-/// How long an idle connection is kept where the other side names no limit: new
-/// connections to servers are dear, and a closed one is noticed.
+/// How long an idle connection is kept if the other side names no limit. It is long because
+/// new connections to servers are expensive and a closed connection is detected.
 const DEFAULT_IDLE: Duration = Duration::from_secs(40);
-/// Part of the other side's limit that is used, so that a request does not
-/// cross its close.
-const IDLE_PART: f64 = 0.9;
+/// Share of the other side's idle limit that is used, so that a request is not sent while
+/// the other side closes the connection.
+const IDLE_SHARE: f64 = 0.9;
 
-/// Longest rest of a connection that a request which may not be repeated uses: a
-/// server may have forgotten an older one without notice, and such a request
-/// would be lost with it.
-const SAFE_REST: Duration = Duration::from_secs(5);
+/// Longest idle time of a connection used for a request that may not be repeated. A server
+/// may have dropped an older connection silently, and the request would be lost with it.
+const MAX_RECENT_IDLE: Duration = Duration::from_secs(5);
 
 struct IdleConnection {
     connection: HttpConnection,
-    since: BootInstant,
-    until: BootInstant,
+    idle_since: BootInstant,
+    expires: BootInstant,
 }
 
-/// Which kept connections will do.
+/// Which pooled connections are acceptable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionChoice {
-    /// Any that is open.
+    /// Any open connection.
     Any,
-    /// Only one that has served lately.
-    Proven,
+    /// Only a recently used connection.
+    Recent,
 }
 
-/// The kept connections.
+/// Idle connections that can be reused.
 #[derive(Default)]
 pub(crate) struct ConnectionPool {
     idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
-    /// Takes a kept connection that can send at once.
-    pub(crate) fn take(
+    /// Claims an idle connection that is ready to send.
+    pub(crate) fn claim(
         &self,
         address: SocketAddr,
         choice: ConnectionChoice,
     ) -> Option<HttpConnection> {
         let now = BootInstant::now();
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(&address)?;
-        kept.retain(|entry| !entry.connection.is_closed() && now < entry.until);
-        let newest = kept.iter().rposition(|entry| entry.connection.is_ready())?;
-        if choice == ConnectionChoice::Proven && now - kept[newest].since > SAFE_REST {
+        let connections = idle.get_mut(&address)?;
+        connections.retain(|entry| !entry.connection.is_closed() && now < entry.expires);
+        let newest = connections
+            .iter()
+            .rposition(|entry| entry.connection.is_ready())?;
+        if choice == ConnectionChoice::Recent
+            && now - connections[newest].idle_since > MAX_RECENT_IDLE
+        {
             return None;
         }
-        Some(kept.remove(newest).connection)
+        Some(connections.remove(newest).connection)
     }
 
-    /// Whether a kept connection could send at once.
+    /// Whether the pool has a connection to `address` that is ready to send.
     pub(crate) fn has_idle(&self, address: SocketAddr) -> bool {
         let now = BootInstant::now();
         let idle = self.idle.borrow();
-        let kept = idle.get(&address).into_iter().flatten();
-        kept.into_iter()
-            .any(|entry| entry.connection.is_ready() && now < entry.until)
+        let connections = idle.get(&address).into_iter().flatten();
+        connections
+            .into_iter()
+            .any(|entry| entry.connection.is_ready() && now < entry.expires)
     }
 
-    /// Keeps a connection whose last answer is whole; `limit` is what the other
-    /// side said of idle ones.
+    /// Returns a connection to the pool after a whole response. `limit` is the idle limit that
+    /// the other side sent.
     pub(crate) fn put(
         &self,
         address: SocketAddr,
         connection: HttpConnection,
         limit: Option<Duration>,
     ) {
-        let kept_for = limit.map_or(DEFAULT_IDLE, |limit| limit.mul_f64(IDLE_PART));
+        let lifetime = limit.map_or(DEFAULT_IDLE, |limit| limit.mul_f64(IDLE_SHARE));
         let now = BootInstant::now();
         let entry = IdleConnection {
             connection,
-            since: now,
-            until: now + kept_for,
+            idle_since: now,
+            expires: now + lifetime,
         };
         self.idle
             .borrow_mut()
@@ -93,17 +97,17 @@
             .push(entry);
     }
 
-    /// Closes all of them.
+    /// Closes all idle connections.
     pub(crate) fn clear(&self) {
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes what has been idle for too long.
-    pub(crate) fn sweep(&self) {
+    /// Closes expired connections.
+    pub(crate) fn close_expired(&self) {
         let now = BootInstant::now();
-        self.idle.borrow_mut().retain(|_, kept| {
-            kept.retain(|entry| now < entry.until);
-            !kept.is_empty()
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections.retain(|entry| now < entry.expires);
+            !connections.is_empty()
         });
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,9 +1,9 @@
-//! Requests passed on between VMs of different regions.
+//! Forwarding of requests between VMs of different regions.
 //!
-//! They travel as HTTP/1.1 on a port between VMs: cancelling is closing the
-//! connection, and a slow caller holds up its own stream only. What the sending
-//! VM has decided (service, goal, homes) comes along in headers of our own, so
-//! that both VMs may be on different versions of the configuration.
+//! Requests travel as HTTP/1.1 over a port between VMs: a request is cancelled by closing
+//! its connection, and a slow caller blocks only its own stream. Internal headers carry what
+//! the sending VM has decided (service, goal, homes), so that the two VMs may have different
+//! versions of the configuration.
 
 use std::cell::OnceCell;
 use std::net::SocketAddr;
@@ -36,57 +36,58 @@
 const RESUMABLE: &str = "resumable";
 const VERDICT: &str = "onyxfall-verdict";
 const ARRIVED: &str = "onyxfall-arrived";
-const OWN_HEADERS: [&str; 8] = [VM, SERVICE, GOAL, HOMES, TEAM, ROUTE, URGENCY, STREAM];
-/// Urgency of a request whose sender names none, in the middle of 0 to 9.
-const USUAL_URGENCY: u8 = 5;
+const RELAY_HEADERS: [&str; 8] = [VM, SERVICE, GOAL, HOMES, TEAM, ROUTE, URGENCY, STREAM];
+/// Urgency of a request whose sender sets none: the middle of 0 to 9.
+const DEFAULT_URGENCY: u8 = 5;
 
-/// Largest body that is taken from another VM, which has checked its caller's.
+/// Largest body accepted from another VM, which has already checked the size of its
+/// caller's body.
 const MAX_RELAYED_BODY: usize = 8 * 1024 * 1024;
 
-/// Why a request is passed on to another VM.
+/// Why a request is forwarded to another VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerReason {
-    /// Its region answers earlier, or is the only one that may.
-    Away,
-    /// It is the only VM that may run the request, which may have crashed servers.
+    /// Its region responds earlier, or is the only one that may serve the request.
+    Remote,
+    /// It is the only VM that may run the request, which is suspected of crashing servers.
     Holder,
 }
 
 impl PeerReason {
-    /// Word for logs.
+    /// Name of the reason in logs.
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
-            Self::Away => "away",
+            Self::Remote => "away",
             Self::Holder => "holder",
         }
     }
 }
 
-/// A VM to pass a request on to.
+/// A VM to forward a request to.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerTarget {
-    /// Its name.
+    /// Name of the VM.
     pub(crate) vm: VmName,
-    /// Where it takes requests of other VMs.
+    /// Address for requests forwarded by other VMs.
     pub(crate) address: SocketAddr,
-    /// Its region.
+    /// Region of the VM.
     pub(crate) region: RegionName,
-    /// Expected times, round trip included; of a holder nothing is expected.
+    /// Predicted times including the round trip; all zero for a holder.
     pub(crate) predicted: TimePrediction,
-    /// Why it goes there.
+    /// Why the request is forwarded to this VM.
     pub(crate) reason: PeerReason,
 }
 
-/// What another VM says of a request that it did not answer.
+/// Verdict of another VM on a request without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PeerVerdict {
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub(crate) verdict: RunVerdict,
-    /// Whether it reached a server.
+    /// Whether the request reached a server.
     pub(crate) arrived: bool,
 }
 
-/// Adds what the other VM must know.
+/// Adds the headers for a forwarded request.
 pub(crate) fn set_relay_headers(headers: &mut HeaderMap, vm: &VmName, call: &CallContext) {
     set(headers, VM, vm.as_str());
     set(headers, SERVICE, call.needs.service.as_str());
@@ -97,21 +98,21 @@
     if let Some(team) = &call.team {
         set(headers, TEAM, team.as_str());
     }
-    match call.rules.answer {
+    match call.rules.response {
         ResponseRule::Whole => {}
         ResponseRule::LostWithServer => set(headers, STREAM, ONCE),
         ResponseRule::Resumable | ResponseRule::ResumedBySender => set(headers, STREAM, RESUMABLE),
     }
 }
 
-/// The verdict of another VM; none if the answer is a server's.
-pub(crate) fn read_verdict(headers: &HeaderMap) -> Option<PeerVerdict> {
+/// Parses the verdict of another VM. `None` if the response comes from a server.
+pub(crate) fn parse_verdict(headers: &HeaderMap) -> Option<PeerVerdict> {
     let verdict = headers.get(VERDICT)?.to_str().ok()?.parse().ok()?;
     let arrived = headers.get(ARRIVED).is_some_and(|value| value == "1");
     Some(PeerVerdict { verdict, arrived })
 }
 
-/// Serves a request that another VM has passed on.
+/// Serves a request that another VM forwarded.
 pub(crate) async fn handle_relayed(
     gateway: Rc<Gateway>,
     request: Request<Incoming>,
@@ -121,7 +122,7 @@
         Ok(call) => serve(&gateway, &Rc::new(call)).await,
         Err(error) => Err(error.into()),
     };
-    result.unwrap_or_else(|failure| refuse_relayed(&failure))
+    result.unwrap_or_else(|failure| reject_relayed(&failure))
 }
 
 async fn read_relayed(
@@ -130,41 +131,44 @@
     arrived: BootInstant,
 ) -> Result<CallContext, RequestError> {
     let (head, body) = request.into_parts();
-    let bad = || RequestError::not_run(RefusalReason::BadRequest, "not a relayed request");
-    let call = read_call(&head.headers).ok_or_else(bad)?;
+    let invalid = || RequestError::not_run(RefusalReason::BadRequest, "invalid forwarded request");
+    let call = read_call(&head.headers).ok_or_else(invalid)?;
     let text = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok());
-    let number = |name: &str| text(name).and_then(|t| t.parse::<u64>().ok());
+    let integer = |name: &str| text(name).and_then(|t| t.parse::<u64>().ok());
     let service = text(SERVICE)
         .and_then(|name| name.parse().ok())
-        .ok_or_else(bad)?;
+        .ok_or_else(invalid)?;
     let vm: VmName = text(VM)
         .and_then(|name| name.parse().ok())
-        .ok_or_else(bad)?;
-    let homes: HomeRegions = text(HOMES).unwrap_or("").parse().map_err(|_| bad())?;
-    let team = text(TEAM).map(str::parse).transpose().map_err(|_| bad())?;
+        .ok_or_else(invalid)?;
+    let homes: HomeRegions = text(HOMES).unwrap_or("").parse().map_err(|_| invalid())?;
+    let team = text(TEAM)
+        .map(str::parse)
+        .transpose()
+        .map_err(|_| invalid())?;
     let table = gateway.table();
     let engine = table
         .as_ref()
         .and_then(|table| table.service(&service)?.engine);
-    let time_left = call.time_left.ok_or_else(bad)?;
+    let time_left = call.time_left.ok_or_else(invalid)?;
     let route = text(ROUTE).unwrap_or("relayed").to_owned();
     let homes = match &table {
-        Some(table) => homes.and(&own_homes(table, &route, team.as_ref())),
+        Some(table) => homes.and(&local_homes(table, &route, team.as_ref())),
         None => homes,
     };
-    let urgency = number(URGENCY).and_then(|urgency| u8::try_from(urgency).ok());
+    let urgency = integer(URGENCY).and_then(|urgency| u8::try_from(urgency).ok());
     let needs = CallRequirements {
         service,
         engine,
-        goal: Duration::from_millis(number(GOAL).ok_or_else(bad)?),
-        urgency: urgency.unwrap_or(USUAL_URGENCY),
+        goal: Duration::from_millis(integer(GOAL).ok_or_else(invalid)?),
+        urgency: urgency.unwrap_or(DEFAULT_URGENCY),
         deadline: gateway.now() + time_left,
         events: gateway.expected_events(&route, &call.prompt),
         prompt: call.prompt,
         homes,
     };
     let mut headers = forward_headers(&head.headers);
-    for name in OWN_HEADERS {
+    for name in RELAY_HEADERS {
         headers.remove(name);
     }
     let body = read_body(body, MAX_RELAYED_BODY, time_left).await?;
@@ -176,9 +180,9 @@
         version: table.map(|table| table.version()).unwrap_or_default(),
         needs,
         rules: CallRules {
-            // The VM that passed it on decides about repeats.
+            // Only the forwarding VM retries.
             repeatable: false,
-            answer: match text(STREAM) {
+            response: match text(STREAM) {
                 None => ResponseRule::Whole,
                 Some(ONCE) => ResponseRule::LostWithServer,
                 Some(_) => ResponseRule::ResumedBySender,
@@ -195,9 +199,8 @@
     })
 }
 
-/// Regions that this VM's own configuration allows, which may be a later one than the
-/// sender's.
-fn own_homes(table: &RouteTable, route: &str, team: Option<&TeamName>) -> HomeRegions {
+/// Home regions by this VM's own configuration, which may be newer than the sender's.
+fn local_homes(table: &RouteTable, route: &str, team: Option<&TeamName>) -> HomeRegions {
     let route = table.route(route);
     let mut homes = route.map_or(HomeRegions::Any, |rule| rule.homes.clone());
     if let (Some(teams), Some(name)) = (table.teams(), team)
@@ -208,7 +211,7 @@
     homes
 }
 
-fn refuse_relayed(failure: &CallFailure) -> Response<ReplyBody> {
+fn reject_relayed(failure: &CallFailure) -> Response<ReplyBody> {
     let mut response = Response::new(ReplyBody::whole(""));
     *response.status_mut() = http::StatusCode::SERVICE_UNAVAILABLE;
     let arrived = if failure.arrivals > 0 { "1" } else { "0" };
--- a/crates/gateway/src/relays.rs
+++ b/crates/gateway/src/relays.rs
@@ -1,7 +1,7 @@
-//! Which VMs of other regions this VM passes requests to.
+//! Selection of the VMs of other regions that receive forwarded requests.
 //!
-//! A connection to another region costs two round trips before its first answer, so a
-//! VM keeps to a few VMs of each region and prefers one to which a connection is open.
+//! A new connection to another region costs two round trips before its first response, so
+//! a VM uses only a few VMs of each region and prefers those with an open connection.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,43 +14,42 @@
 
 use crate::gateway::Gateway;
 
-/// VMs of each other region that this VM passes requests to: half of them may be lost
-/// at once and two are left.
-const TARGETS: usize = 4;
-/// How long a VM that could not be reached gets nothing.
-const FAILED_REST: Duration = Duration::from_secs(1);
+/// Number of target VMs in each other region. If half of them fail at once, two are left.
+const TARGETS_PER_REGION: usize = 4;
+/// How long a VM that could not be reached is skipped.
+const FAILED_BACKOFF: Duration = Duration::from_secs(1);
 
 /// A VM of another region.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RelayTarget {
-    /// Its name.
+    /// Name of the VM.
     pub(crate) vm: VmName,
-    /// Where it takes requests of other VMs.
+    /// Address for requests forwarded by other VMs.
     pub(crate) address: SocketAddr,
 }
 
-/// The VMs that this VM passes requests to.
+/// The VMs of other regions that this VM forwards requests to.
 #[derive(Debug, Default)]
 pub(crate) struct RelayTable {
-    /// Changes of the roster that the targets were worked out from.
-    basis: u64,
+    /// Change count of the roster that the targets were computed from.
+    roster_changes: u64,
     targets: BTreeMap<RegionName, Vec<RelayTarget>>,
     failed: BTreeMap<VmName, BootInstant>,
-    turn: usize,
+    next_index: usize,
 }
 
 impl RelayTable {
     fn refresh(&mut self, roster: &Roster, port: u16) {
-        if self.basis == roster.changes() {
+        if self.roster_changes == roster.changes() {
             return;
         }
-        self.basis = roster.changes();
+        self.roster_changes = roster.changes();
         self.targets.clear();
         let own = &roster.own().region;
         for vm in roster.others().filter(|vm| vm.record.region != *own) {
             let region = &vm.record.region;
             if !self.targets.contains_key(region) {
-                let targets = roster.relay_targets(region, TARGETS);
+                let targets = roster.relay_targets(region, TARGETS_PER_REGION);
                 let targets = targets.into_iter().map(|record| RelayTarget {
                     vm: record.name.clone(),
                     address: SocketAddr::new(record.peer_address.ip(), port),
@@ -60,11 +59,11 @@
         }
     }
 
-    /// The targets of a region that have not failed lately and were not tried.
+    /// Targets of a region that have not failed recently and are not in `tried`.
     fn usable(&self, region: &RegionName, tried: &[VmName]) -> Vec<&RelayTarget> {
         let has_failed = |vm: &VmName| {
             let at = self.failed.get(vm);
-            at.is_some_and(|at| at.elapsed() < FAILED_REST)
+            at.is_some_and(|at| at.elapsed() < FAILED_BACKOFF)
         };
         let targets = self.targets.get(region).into_iter().flatten();
         targets
@@ -74,8 +73,8 @@
 }
 
 impl Gateway {
-    /// Regions of which no VM is left to pass a request to that was with `tried`.
-    pub(crate) fn closed_regions(&self, tried: &[VmName]) -> Vec<RegionName> {
+    /// Regions that have no usable target left besides `tried`.
+    pub(crate) fn unreachable_regions(&self, tried: &[VmName]) -> Vec<RegionName> {
         let relays = self.relays();
         let regions = relays.targets.keys();
         regions
@@ -84,30 +83,30 @@
             .collect()
     }
 
-    /// The VM of a region that a request is passed to: one with an open connection, in
-    /// turn.
+    /// Selects a VM of a region to forward a request to: round robin over the usable targets,
+    /// preferring those with an open connection.
     pub(crate) fn relay_target(
         &self,
         region: &RegionName,
         tried: &[VmName],
     ) -> Option<RelayTarget> {
         let mut relays = self.relays();
-        relays.turn = relays.turn.wrapping_add(1);
+        relays.next_index = relays.next_index.wrapping_add(1);
         let usable = relays.usable(region, tried);
         let open: Vec<&RelayTarget> = usable
             .iter()
             .copied()
             .filter(|target| self.pool.has_idle(target.address))
             .collect();
-        let choice = if open.is_empty() { usable } else { open };
-        let index = relays.turn.checked_rem(choice.len())?;
-        choice.get(index).map(|target| (*target).clone())
+        let candidates = if open.is_empty() { usable } else { open };
+        let index = relays.next_index.checked_rem(candidates.len())?;
+        candidates.get(index).map(|target| (*target).clone())
     }
 
-    /// Notes that a VM could not be reached.
-    pub(crate) fn note_relay_failed(&self, vm: &VmName) {
+    /// Records that a VM could not be reached.
+    pub(crate) fn record_relay_failure(&self, vm: &VmName) {
         let mut relays = self.relays.borrow_mut();
-        relays.failed.retain(|_, at| at.elapsed() < FAILED_REST);
+        relays.failed.retain(|_, at| at.elapsed() < FAILED_BACKOFF);
         relays.failed.insert(vm.clone(), BootInstant::now());
     }
 
--- a/crates/gateway/src/report.rs
+++ b/crates/gateway/src/report.rs
@@ -1,4 +1,4 @@
-//! The last line of a request's log, and its count.
+//! Final log line and metrics of a request.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::serve::CallProgress;
 
 impl Gateway {
-    /// Logs and counts the end of a request that a server answered.
+    /// Logs and counts the end of a request that a server responded to.
     pub(crate) fn log_request_end(
         &self,
         call: &CallContext,
@@ -41,7 +41,7 @@
         );
     }
 
-    /// Logs and counts a request that got no server's answer.
+    /// Logs and counts a request that is rejected without a server's response.
     pub(crate) fn log_refusal(
         &self,
         call: &CallContext,
@@ -68,7 +68,7 @@
     }
 }
 
-/// A time as logs tell it.
+/// A duration in milliseconds, for log fields.
 pub(crate) fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -1,5 +1,5 @@
-//! Roll-outs on this VM: which version a request goes to, what came of it, and the records
-//! that are due in the store.
+//! Rollouts on this VM: the version that a request is sent to, the evidence from its outcome,
+//! and the records to write to the store.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -22,14 +22,14 @@
 use crate::serve::CallProgress;
 use crate::store_client::{CallError, StoreClient};
 
-/// Answers that a count can hold: beyond, what another VM tells is absurd.
-const MOST_COUNTED: u64 = 1 << 40;
-/// Time between two looks for records that are due.
-const WRITE_LOOK: Duration = Duration::from_millis(100);
+/// Largest plausible count; a larger one from another VM is treated as invalid.
+const MAX_COUNT: u64 = 1 << 40;
+/// Interval at which due records are looked for.
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Gateway {
-    /// Decides where a request goes that is one of those meant for the version that does
-    /// not get the others.
+    /// Decides where a request goes if it is part of the share of the version that does not get
+    /// the main traffic.
     pub(crate) fn decide_version(
         &self,
         call: &SharedCall,
@@ -47,8 +47,8 @@
             let mut rollouts = self.rollouts.borrow_mut();
             rollouts.other_side(now, service, &mut *self.rng.borrow_mut())?
         };
-        // A VM that hears nobody would not learn that the version is given up.
-        if side == VersionSide::New && !self.has_live_peers() && self.expects_others() {
+        // A VM that hears from no other VM would not learn that the version is aborted.
+        if side == VersionSide::New && !self.has_live_peers() && self.has_configured_peers() {
             return None;
         }
         let step = self.choose_version(now, side, call)?;
@@ -59,13 +59,13 @@
     }
 
     /// Whether the settings name another VM.
-    fn expects_others(&self) -> bool {
+    fn has_configured_peers(&self) -> bool {
         let settings = self.settings();
         settings.seeds.iter().any(|seed| *seed != settings.peers)
     }
 
-    /// Where a request goes that the usual version has no server for, while another one
-    /// may still take it.
+    /// Where a request goes if the usual version has no server for it but the old version may
+    /// still take it.
     pub(crate) fn decide_spare(&self, call: &SharedCall) -> Option<RouteStep> {
         let (now, service) = (self.now(), &call.needs.service);
         let phase = self.rollouts.borrow().phase(now, service)?;
@@ -101,8 +101,8 @@
         )))
     }
 
-    /// Counts how an attempt at a server ended. `ratio` is how many times slower than
-    /// usual its answer was.
+    /// Counts the outcome of an attempt at a server. `ratio` is how many times slower than
+    /// usual the response was.
     pub(crate) fn record_outcome(
         &self,
         call: &CallContext,
@@ -131,55 +131,55 @@
         rollouts.note(service, &call.route, side, state.instance_hash(), outcome);
     }
 
-    /// Counts of this VM, as work that is told to the others.
+    /// Evidence of this VM, encoded as work for other VMs.
     pub(crate) fn own_evidence(&self) -> Vec<WorkEntry> {
         let rollouts = self.rollouts.borrow();
-        let told = rollouts.own_evidence().map(|(tag, counts)| WorkEntry {
+        let entries = rollouts.own_evidence().map(|(tag, counts)| WorkEntry {
             server: ServerTag(tag.0),
             share: evidence_share(&counts),
         });
-        told.collect()
+        entries.collect()
     }
 
-    /// Takes other VMs' counts; whether the tag is one of counts.
-    pub(crate) fn take_evidence(&self, tag: ServerTag, share: &WorkShare) -> bool {
+    /// Applies evidence of other VMs. Returns whether the tag is one of evidence.
+    pub(crate) fn apply_evidence(&self, tag: ServerTag, share: &WorkShare) -> bool {
         let mut rollouts = self.rollouts.borrow_mut();
-        // Asked for each figure that is no server's, with or without a roll-out.
+        // Called for every entry of work that is not a server's, even without a rollout.
         !rollouts.is_empty() && rollouts.set_regional(EvidenceTag(tag.0), evidence_counts(share))
     }
 
-    /// Counts of this region, for other regions.
+    /// Evidence of this region, for other regions.
     pub(crate) fn region_evidence(&self) -> Vec<EvidenceEntry> {
         let rollouts = self.rollouts.borrow();
         rollouts.region_evidence().map(evidence_entry).collect()
     }
 
-    /// Counts that another region has told, for members of this one.
-    pub(crate) fn far_evidence(&self, region: &RegionName) -> Vec<EvidenceEntry> {
+    /// Evidence received from another region, for members of this VM.
+    pub(crate) fn remote_evidence(&self, region: &RegionName) -> Vec<EvidenceEntry> {
         let rollouts = self.rollouts.borrow();
         rollouts.far_evidence(region).map(evidence_entry).collect()
     }
 
-    /// Takes the counts of another region.
-    pub(crate) fn take_far_evidence(&self, region: &RegionName, entries: &[EvidenceEntry]) {
+    /// Applies the evidence of another region.
+    pub(crate) fn apply_remote_evidence(&self, region: &RegionName, entries: &[EvidenceEntry]) {
         let mut rollouts = self.rollouts.borrow_mut();
         for entry in entries {
             let tag = EvidenceTag(entry.tag);
             if !rollouts.set_far(region, tag, read_figures(&entry.figures)) {
-                log::debug!("counts told of an unknown roll-out {}", tag.0);
+                log::debug!("ignoring evidence of an unknown rollout {}", tag.0);
             }
         }
     }
 
-    /// Makes the routes of services with a roll-out known to it.
+    /// Updates the routes of each service that has a rollout.
     pub(crate) fn refresh_rollout_routes(&self) {
         let Some(table) = self.table() else { return };
         let mut rollouts = self.rollouts.borrow_mut();
         let services: Vec<ServiceName> = rollouts.services().cloned().collect();
         for service in services {
-            let leads = |target: &onyxfall_fleet::RouteTarget| target.service == service;
+            let is_target = |target: &onyxfall_fleet::RouteTarget| target.service == service;
             let rules = table.routes();
-            let rules = rules.filter(|rule| rule.targets.iter().any(leads));
+            let rules = rules.filter(|rule| rule.targets.iter().any(is_target));
             let mut routes: Vec<RouteName> = Vec::new();
             let mut longest = Duration::ZERO;
             for rule in rules {
@@ -190,12 +190,12 @@
         }
     }
 
-    /// Lets time and evidence count: versions are closed, opened and given up.
+    /// Reevaluates rollouts by time and evidence: versions are closed, opened or aborted.
     pub(crate) fn refresh_rollouts(&self, now: Moment) {
         if self.rollouts.borrow().is_empty() {
             return;
         }
-        self.tell_verdicts(now);
+        self.log_verdicts(now);
         let rules: BTreeMap<_, _> = {
             let rollouts = self.rollouts.borrow();
             let rules = rollouts.rules(now);
@@ -204,10 +204,10 @@
                 .collect()
         };
         self.fleet.borrow_mut().set_version_rules(rules);
-        self.tell_phases(now);
+        self.log_phases(now);
     }
 
-    fn tell_verdicts(&self, now: Moment) {
+    fn log_verdicts(&self, now: Moment) {
         let bad = self.rollouts.borrow_mut().judge(now);
         let rollouts = self.rollouts.borrow();
         for (service, metric) in bad {
@@ -226,13 +226,13 @@
         }
     }
 
-    /// Logs each change of where requests go.
-    fn tell_phases(&self, now: Moment) {
+    /// Logs changes of the phase of each rollout.
+    fn log_phases(&self, now: Moment) {
         let rollouts = self.rollouts.borrow();
-        let mut told = self.logged_phases.borrow_mut();
+        let mut logged = self.logged_phases.borrow_mut();
         for status in rollouts.statuses(now) {
             let phase = status.phase.as_str();
-            if told.insert(status.service.clone(), phase) == Some(phase) {
+            if logged.insert(status.service.clone(), phase) == Some(phase) {
                 continue;
             }
             log::info!(
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Roll-outs as metrics: the step, the share of evidence, counts by version.
+    /// Rollouts as metrics: the phase, the weight of the evidence, and counts by version.
     pub(crate) fn rollout_gauges(&self) -> String {
         use std::fmt::Write as _;
         let now = self.now();
@@ -280,8 +280,8 @@
         out
     }
 
-    /// The place of this VM among those that write records; none if it does not watch the
-    /// store. Regions take turns by service, so that not all write at once.
+    /// Rank of this VM among those that write records; `None` if it does not watch the store.
+    /// The order of regions rotates by service, so that not all write at once.
     fn store_writer(&self) -> Option<StoreWriter> {
         if !self.store.borrow().is_watched() {
             return None;
@@ -294,9 +294,9 @@
         regions.sort_by_cached_key(|region| stable_hash(&["write", region.as_str()]));
         regions.dedup();
         let count = u32::try_from(regions.len()).unwrap_or(1);
-        let place = regions.iter().position(|r| **r == settings.place.region)?;
-        let place = u32::try_from(place).unwrap_or_default();
-        let rank = near_rank.saturating_mul(count).saturating_add(place);
+        let position = regions.iter().position(|r| **r == settings.place.region)?;
+        let position = u32::try_from(position).unwrap_or_default();
+        let rank = near_rank.saturating_mul(count).saturating_add(position);
         Some(StoreWriter { rank, near_rank })
     }
 
@@ -314,26 +314,26 @@
     }
 }
 
-/// Starts the task that writes records of roll-outs to the store.
+/// Starts the task that writes rollout records to the store.
 pub(crate) fn start(gateway: &Rc<Gateway>) {
     let gateway = Rc::clone(gateway);
     tokio::task::spawn_local(async move {
         let mut client = StoreClient::new(&gateway);
         loop {
-            // Without any roll-out, as nearly always, nothing wakes this VM.
+            // Usually there is no rollout, and then this task does not wake.
             if gateway.rollouts.borrow().is_empty() {
                 gateway.rollout_known.notified().await;
             }
-            tokio::time::sleep(WRITE_LOOK).await;
+            tokio::time::sleep(WRITE_INTERVAL).await;
             for write in gateway.due_rollout_writes() {
                 match send_write(&mut client, &write).await {
-                    Ok(end) => tell_write(&write, end),
-                    // What became of it shows with the watch; it is tried again if nothing
-                    // does.
+                    Ok(end) => log_write(&write, end),
+                    // The watch shows whether the write took effect. If nothing arrives, it is
+                    // retried.
                     Err(e) => log::warn!(
                         service = write.service().as_str(),
                         error:% = e;
-                        "record of a roll-out not written"
+                        "writing a rollout record failed"
                     ),
                 }
             }
@@ -350,7 +350,7 @@
     Ok(read_write(reply.status)?)
 }
 
-fn tell_write(write: &RolloutWrite, end: WriteOutcome) {
+fn log_write(write: &RolloutWrite, end: WriteOutcome) {
     let made = end == WriteOutcome::Done;
     match write {
         RolloutWrite::Record {
@@ -369,12 +369,12 @@
             service = service.as_str(),
             region = region.as_str(),
             made;
-            "region moves its traffic to the new version"
+            "region shifts its traffic to the new version"
         ),
     }
 }
 
-/// Counts as VMs tell each other's work: the sums over VMs are made in the same way.
+/// Encodes evidence as work, so that it is summed over VMs in the same way.
 fn evidence_share(counts: &EvidenceCounts) -> WorkShare {
     let [answers, figures @ ..] = figures_of(counts);
     WorkShare {
@@ -397,7 +397,7 @@
     }
 }
 
-/// Figures of counts in messages.
+/// Number of figures that encode a set of counts.
 const FIGURES: usize = 3 + SLOW_RATIOS.len();
 
 fn figures_of(counts: &EvidenceCounts) -> [u64; FIGURES] {
@@ -409,11 +409,11 @@
     figures
 }
 
-/// Counts from their figures; those that are missing, or beyond what is possible, are zero.
+/// Decodes counts from their figures. Missing and implausible figures count as zero.
 fn read_figures(figures: &[u64]) -> EvidenceCounts {
     let figure = |index: usize| {
         let figure = figures.get(index).copied().unwrap_or_default();
-        if figure > MOST_COUNTED { 0 } else { figure }
+        if figure > MAX_COUNT { 0 } else { figure }
     };
     EvidenceCounts {
         answers: figure(0),
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,8 +1,8 @@
-//! A request from decision to answer: attempts, retries, the verdict.
+//! Serves a request: attempts, retries and the final verdict.
 //!
-//! A second attempt is made only while nothing of an answer has left, and only
-//! if the request may be repeated or every attempt so far did not run. The
-//! request's verdict is the largest of its attempts'.
+//! A request is retried only while nothing of a response has been sent to the caller, and
+//! only if it is repeatable or no attempt so far ran. The verdict of the request is the
+//! largest verdict of its attempts.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,125 +23,125 @@
 use crate::stream::StreamRelay;
 use crate::suspension::within_deadline;
 
-/// Arrivals at servers that one request may cause, refusals included.
+/// Most times that one request may reach a server, including rejections.
 const MAX_ARRIVALS: u32 = 3;
-/// Attempts that reach nobody (no connection) before a request is refused.
+/// Attempts without a connection after which a request is rejected.
 const MAX_UNREACHED: u32 = 6;
-/// Answers up to this size are read whole before the caller gets their head, so
-/// that one that breaks off can still be replaced.
-const WHOLE_LIMIT: usize = 256 * 1024;
-/// Pause that a caller is told when nothing better is known.
+/// Responses up to this size are buffered whole before their head is sent to the caller,
+/// so that a response cut off by a lost connection can be replaced by a retry.
+const MAX_BUFFERED_BODY: usize = 256 * 1024;
+/// Retry delay sent to a caller when no better one is known.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// What a request has been through.
+/// Attempts of a request so far.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CallProgress {
     /// Servers that are not tried again.
     pub(crate) servers: Vec<ServerId>,
     /// VMs that are not tried again.
     pub(crate) vms: Vec<VmName>,
-    /// Attempts that reached a server.
+    /// Number of attempts that reached a server.
     pub(crate) arrivals: u32,
-    /// Attempts that may have run.
+    /// Number of attempts that may have run.
     pub(crate) runs: u32,
-    /// Attempts that reached nobody.
+    /// Number of attempts without a connection.
     pub(crate) unreached: u32,
-    /// Times that another server went on with the stream.
+    /// Number of times that another server resumed the stream.
     pub(crate) resumes: u32,
-    /// Events that the caller has.
+    /// Number of events forwarded to the caller.
     pub(crate) events: u32,
-    /// Whether the end was logged.
-    pub(crate) is_told: bool,
-    /// Expected times of the last attempt.
+    /// Whether the end of the request was logged.
+    pub(crate) is_end_logged: bool,
+    /// Predicted times of the last attempt.
     pub(crate) predicted: TimePrediction,
     /// Age of the request when the last attempt was sent.
     pub(crate) sent: Duration,
-    /// Time from the request to the first byte of its answer.
+    /// Time from the arrival of the request to the head of its response.
     pub(crate) first_byte: Duration,
-    /// Where the last attempt went, for the log.
+    /// Server or VM of the last attempt, for the log.
     pub(crate) last_target: String,
-    /// Why the last attempt went there, for the log.
+    /// Why the last attempt went to that server or VM, for the log.
     pub(crate) reason: &'static str,
     /// Why the last attempt failed, for the log.
     pub(crate) last_cause: &'static str,
 }
 
-/// An answer that a server gave whole.
-struct WholeAnswer {
+/// A response that was received whole.
+struct WholeResponse {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-/// The end of a request without an answer of a server.
+/// Result of a request without a response from a server.
 #[derive(Debug)]
 pub(crate) struct CallFailure {
-    /// Why, and whether it may have run.
+    /// Why it failed, and whether it may have run.
     pub(crate) error: RequestError,
-    /// Attempts that reached a server.
+    /// Number of attempts that reached a server.
     pub(crate) arrivals: u32,
 }
 
 impl From<RequestError> for CallFailure {
-    /// A request that was refused before any attempt.
+    /// Converts the error of a request that was rejected before any attempt.
     fn from(error: RequestError) -> Self {
         Self { error, arrivals: 0 }
     }
 }
 
-/// Serves a request; the answer may still be on its way when this returns.
+/// Serves a request. The body of the response may still be streaming when this returns.
 pub(crate) async fn serve(
     gateway: &Rc<Gateway>,
     call: &SharedCall,
 ) -> Result<Response<ReplyBody>, CallFailure> {
     let mut progress = CallProgress::default();
-    let mut fallback: Option<WholeAnswer> = None;
+    let mut fallback: Option<WholeResponse> = None;
     loop {
         let end = match next_attempt(gateway, call, &mut progress, &HeaderMap::new()).await {
             Ok(end) => end,
-            Err(error) => return give_up(gateway, call, &progress, fallback, error),
+            Err(error) => return finish_unserved(gateway, call, &progress, fallback, error),
         };
-        let AttemptEnd::Answer(answer) = end else {
-            if let Err(error) = note_failure(gateway, call, &mut progress, &end) {
-                return give_up(gateway, call, &progress, fallback, error);
+        let AttemptEnd::Response(response) = end else {
+            if let Err(error) = record_failure(gateway, call, &mut progress, &end) {
+                return finish_unserved(gateway, call, &progress, fallback, error);
             }
             continue;
         };
         progress.arrivals += 1;
         progress.runs += 1;
         progress.first_byte = call.age();
-        if call.rules.answer.is_stream() && answer.status.is_success() {
-            return Ok(stream_reply(gateway, call, progress, answer));
+        if call.rules.response.is_stream() && response.status.is_success() {
+            return Ok(stream_reply(gateway, call, progress, response));
         }
-        match read_whole(gateway, call, *answer).await {
+        match read_whole(gateway, call, *response).await {
             Some(whole) if !whole.status.is_server_error() => {
                 gateway.log_request_end(call, &progress, "served");
                 return Ok(whole_reply(whole));
             }
             Some(whole) => {
-                progress.last_cause = "the server failed";
-                tell_failed_attempt(call, &progress);
+                progress.last_cause = "the server returned an error";
+                log_failed_attempt(call, &progress);
                 fallback = Some(whole);
             }
-            None => progress.last_cause = "the answer broke off",
+            None => progress.last_cause = "the connection was lost during the response",
         }
-        if let Err(error) = check_repeat(gateway, call, &progress) {
-            return give_up(gateway, call, &progress, fallback, error);
+        if let Err(error) = claim_retry(gateway, call, &progress) {
+            return finish_unserved(gateway, call, &progress, fallback, error);
         }
     }
 }
 
-/// A stream that another server goes on with.
+/// A stream resumed by another server.
 pub(crate) struct ResumedStream {
-    /// The answer of that server.
-    pub(crate) answer: Box<UpstreamResponse>,
-    /// What the request has been through, this answer included.
+    /// Response of that server.
+    pub(crate) response: Box<UpstreamResponse>,
+    /// Attempts of the request so far, including this one.
     pub(crate) progress: CallProgress,
 }
 
-/// Asks another server to go on with a stream after `last_event`. Servers that go on
-/// with it count as attempts: without that, one caption reached four servers in half a
-/// second where its route allows two, and crashed them all.
+/// Resumes a stream after `last_event` at another server. Each resumption counts as an
+/// attempt; otherwise a request that crashes its servers reaches more of them than its
+/// route allows, as when one reached four servers in half a second with two allowed.
 pub(crate) async fn resume(
     gateway: &Rc<Gateway>,
     call: &SharedCall,
@@ -153,12 +153,12 @@
         set_last_event(&mut extra, event);
     }
     loop {
-        check_repeat(gateway, call, &progress).ok()?;
+        claim_retry(gateway, call, &progress).ok()?;
         let end = next_attempt(gateway, call, &mut progress, &extra)
             .await
             .ok()?;
         match end {
-            AttemptEnd::Answer(answer) if answer.status.is_success() => {
+            AttemptEnd::Response(response) if response.status.is_success() => {
                 log::info!(
                     request = call.request_id.as_str(),
                     after = last_event.as_deref().unwrap_or("start"),
@@ -167,19 +167,19 @@
                 );
                 progress.arrivals += 1;
                 progress.runs += 1;
-                return Some(ResumedStream { answer, progress });
+                return Some(ResumedStream { response, progress });
             }
-            AttemptEnd::Answer(answer) => {
+            AttemptEnd::Response(response) => {
                 progress.arrivals += 1;
                 progress.runs += 1;
-                answer.finish(gateway, AttemptResult::Failed);
+                response.finish(gateway, AttemptResult::Failed);
             }
-            other => note_failure(gateway, call, &mut progress, &other).ok()?,
+            other => record_failure(gateway, call, &mut progress, &other).ok()?,
         }
     }
 }
 
-/// Decides where the request goes next and sends it there.
+/// Decides the next step of a request and makes the attempt.
 async fn next_attempt(
     gateway: &Rc<Gateway>,
     call: &SharedCall,
@@ -189,7 +189,7 @@
     loop {
         gateway.query_before_choice().await;
         let step = gateway.decide(call, progress);
-        // A request that is held looks again every few milliseconds, and has changed nothing.
+        // A waiting request decides again every few milliseconds without any change of its own.
         if !matches!(step, RouteStep::Later(_)) {
             gateway.record_own_change();
         }
@@ -197,7 +197,7 @@
             RouteStep::Later(pause) => tokio::time::sleep(pause).await,
             RouteStep::Refuse(error) => return Err(error),
             RouteStep::Server(target) => {
-                gateway.record_request(call, progress);
+                gateway.record_rate(call, progress);
                 progress.servers.push(target.id);
                 progress.sent = call.age();
                 progress.predicted = target.predicted;
@@ -206,18 +206,18 @@
                 return Ok(try_server(gateway, call, &target, extra).await);
             }
             RouteStep::Peer(target) => {
-                gateway.record_request(call, progress);
+                gateway.record_rate(call, progress);
                 progress.vms.push(target.vm.clone());
                 progress.sent = call.age();
                 progress.predicted = target.predicted;
                 progress.reason = target.reason.as_str();
                 progress.last_target = target.vm.to_string();
                 let end = try_peer(gateway, call, &target, extra).await;
-                let is_predicted = target.reason == PeerReason::Away;
-                if matches!(end, AttemptEnd::Answer(_)) && is_predicted {
+                let is_predicted = target.reason == PeerReason::Remote;
+                if matches!(end, AttemptEnd::Response(_)) && is_predicted {
                     let took = call.age().saturating_sub(progress.sent);
-                    let mut away = gateway.remote_table.borrow_mut();
-                    away.note_first(&target.region, target.predicted.first, took);
+                    let mut table = gateway.remote_table.borrow_mut();
+                    table.note_first(&target.region, target.predicted.first, took);
                 }
                 return Ok(end);
             }
@@ -225,15 +225,15 @@
     }
 }
 
-/// Books a failed attempt; an error if the request may not be tried again.
-fn note_failure(
+/// Records a failed attempt. Returns an error if the request may not be retried.
+fn record_failure(
     gateway: &Gateway,
     call: &SharedCall,
     progress: &mut CallProgress,
     end: &AttemptEnd,
 ) -> Result<(), RequestError> {
     match end {
-        AttemptEnd::Answer(_) => return Ok(()),
+        AttemptEnd::Response(_) => return Ok(()),
         AttemptEnd::NotRun { arrived, cause } => {
             progress.last_cause = cause;
             progress.arrivals += u32::from(*arrived);
@@ -245,11 +245,11 @@
             progress.runs += 1;
         }
     }
-    tell_failed_attempt(call, progress);
-    check_repeat(gateway, call, progress)
+    log_failed_attempt(call, progress);
+    claim_retry(gateway, call, progress)
 }
 
-fn tell_failed_attempt(call: &SharedCall, progress: &CallProgress) {
+fn log_failed_attempt(call: &SharedCall, progress: &CallProgress) {
     log::info!(
         request = call.request_id.as_str(),
         target = progress.last_target.as_str(),
@@ -260,14 +260,14 @@
     );
 }
 
-/// Whether the request may be sent once more; takes it from the retry budget.
-fn check_repeat(
+/// Checks whether the request may be retried, and claims a retry from the budget.
+fn claim_retry(
     gateway: &Gateway,
     call: &SharedCall,
     progress: &CallProgress,
 ) -> Result<(), RequestError> {
     let verdict = verdict_of(progress);
-    let refuse = |reason, detail: &str| {
+    let reject = |reason, detail: &str| {
         let error = RequestError {
             verdict,
             reason,
@@ -277,17 +277,23 @@
         Err(error)
     };
     if call.time_left().is_zero() {
-        return refuse(RefusalReason::Deadline, "the time of the request is over");
+        return reject(
+            RefusalReason::Deadline,
+            "the deadline of the request has passed",
+        );
     }
     if verdict == RunVerdict::MayHaveRun && !call.rules.repeatable {
-        return refuse(RefusalReason::Backend, progress.last_cause);
+        return reject(RefusalReason::Backend, progress.last_cause);
     }
-    let out_of_runs = progress.runs >= call.rules.max_attempts;
-    if out_of_runs || progress.arrivals >= MAX_ARRIVALS || progress.unreached >= MAX_UNREACHED {
-        return refuse(RefusalReason::Backend, progress.last_cause);
+    let has_no_attempts_left = progress.runs >= call.rules.max_attempts;
+    if has_no_attempts_left
+        || progress.arrivals >= MAX_ARRIVALS
+        || progress.unreached >= MAX_UNREACHED
+    {
+        return reject(RefusalReason::Backend, progress.last_cause);
     }
     if progress.arrivals > 0 && !gateway.take_retry(&call.needs.service) {
-        return refuse(RefusalReason::Backend, "the retry budget is used up");
+        return reject(RefusalReason::Backend, "the retry budget is used up");
     }
     Ok(())
 }
@@ -300,11 +306,11 @@
     }
 }
 
-fn give_up(
+fn finish_unserved(
     gateway: &Gateway,
     call: &SharedCall,
     progress: &CallProgress,
-    fallback: Option<WholeAnswer>,
+    fallback: Option<WholeResponse>,
     mut error: RequestError,
 ) -> Result<Response<ReplyBody>, CallFailure> {
     if let Some(whole) = fallback {
@@ -322,22 +328,22 @@
 async fn read_whole(
     gateway: &Gateway,
     call: &SharedCall,
-    mut answer: UpstreamResponse,
-) -> Option<WholeAnswer> {
-    let reading = Limited::new(&mut answer.body, WHOLE_LIMIT).collect();
-    let read = within_deadline(gateway, call, reading).await;
+    mut response: UpstreamResponse,
+) -> Option<WholeResponse> {
+    let collecting = Limited::new(&mut response.body, MAX_BUFFERED_BODY).collect();
+    let read = within_deadline(gateway, call, collecting).await;
     let Some(Ok(collected)) = read else {
         let result = if read.is_none() {
             AttemptResult::Unknown
         } else {
             AttemptResult::Broken
         };
-        answer.finish(gateway, result);
+        response.finish(gateway, result);
         return None;
     };
-    let whole = WholeAnswer {
-        status: answer.status,
-        headers: response_headers(&answer.headers),
+    let whole = WholeResponse {
+        status: response.status,
+        headers: response_headers(&response.headers),
         body: collected.to_bytes(),
     };
     let result = if whole.status.is_server_error() {
@@ -345,11 +351,11 @@
     } else {
         AttemptResult::Succeeded
     };
-    answer.finish(gateway, result);
+    response.finish(gateway, result);
     Some(whole)
 }
 
-fn whole_reply(whole: WholeAnswer) -> Response<ReplyBody> {
+fn whole_reply(whole: WholeResponse) -> Response<ReplyBody> {
     let mut response = Response::new(ReplyBody::whole(whole.body));
     *response.status_mut() = whole.status;
     *response.headers_mut() = whole.headers;
@@ -360,10 +366,10 @@
     gateway: &Rc<Gateway>,
     call: &SharedCall,
     progress: CallProgress,
-    answer: Box<UpstreamResponse>,
+    response: Box<UpstreamResponse>,
 ) -> Response<ReplyBody> {
-    let (status, headers) = (answer.status, response_headers(&answer.headers));
-    let relay = StreamRelay::new(gateway, call, progress, answer);
+    let (status, headers) = (response.status, response_headers(&response.headers));
+    let relay = StreamRelay::new(gateway, call, progress, response);
     let mut response = Response::new(ReplyBody::Stream(Box::new(relay)));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway process, read from INI and checked on load.
+//! Settings of a gateway process, read from an INI file and validated on load.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -27,25 +27,24 @@
     "costs",
     "clock",
 ];
-/// Where settings name no grace, as long as the platforms known give.
-const DEFAULT_GRACE_S: u64 = 8;
-/// Where settings name no cost of a copied GB: one request, so that a run of 20 MB is
-/// copied when 2 in 100 of its kind are being lost.
+/// Default time between the stop signal and the kill, as the known platforms give it.
+const DEFAULT_STOP_GRACE_S: u64 = 8;
+/// Default cost of copying a GB: one request. A run of 20 MB is then copied if 2 in 100 of its
+/// kind are being lost.
 const DEFAULT_COPIED_GB: f64 = 1.0;
 
-/// Windows in seconds over which limits of teams can be held.
+/// Allowed window, in seconds, over which limits of teams are enforced.
 const QUOTA_WINDOW_S: RangeInclusive<f64> = 0.1..=3600.0;
 /// Longest delay that can be accepted for 1,000 tokens: an hour.
-const MOST_REREAD_MS: f64 = 3_600_000.0;
+const MAX_REPREFILL_MS: f64 = 3_600_000.0;
 
-/// What costs are weighed against.
+/// Costs that decisions trade off against each other.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct CostSettings {
-    /// What copying a GB of a run's memory to another server costs, in requests that
-    /// may not be repeated and are lost.
+    /// Cost of copying a GB of a run's memory to another server, in lost requests that may not
+    /// be repeated.
     pub(crate) copied_gb: f64,
-    /// Delay that is accepted for 1,000 tokens of a shared part that need not be read
-    /// again.
+    /// Delay that is accepted to save the prefill of 1,000 tokens of a shared prefix.
     pub(crate) reprefill_penalty: Duration,
 }
 
@@ -58,46 +57,46 @@
     }
 }
 
-/// Everything that a gateway process is told.
+/// All settings of a gateway process.
 #[derive(Clone, Debug)]
 pub(crate) struct GatewaySettings {
-    /// Where this VM stands.
+    /// Name, data centre and region of this VM.
     pub(crate) place: VmLocation,
-    /// Processor of this VM; larger ones have duties first.
+    /// CPU capacity of this VM; larger VMs are given duties first.
     pub(crate) capacity: VmCapacity,
-    /// Address that this VM's own connections come from; none if the system picks one.
+    /// Source address of this VM's outgoing connections; `None` if the system picks one.
     pub(crate) source: Option<IpAddr>,
-    /// Where callers are served.
+    /// Address that serves callers.
     pub(crate) callers: SocketAddr,
-    /// Where readiness and metrics are told.
+    /// Address that serves readiness and metrics.
     pub(crate) ready: SocketAddr,
-    /// Where the directory is served.
+    /// Address that serves the directory.
     pub(crate) directory: SocketAddr,
-    /// Where other VMs send heartbeats.
+    /// Address that accepts links from other VMs.
     pub(crate) peers: SocketAddr,
-    /// Where other VMs pass requests on.
+    /// Address that accepts requests forwarded by other VMs.
     pub(crate) relay: SocketAddr,
-    /// Peer addresses to begin with; may be down or stale.
+    /// Peer addresses to start from; they may be down or stale.
     pub(crate) seeds: Vec<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub(crate) store: SocketAddr,
-    /// Time between the order to stop and the kill.
+    /// Time between the stop signal and the kill.
     pub(crate) stop_grace: Duration,
     /// Retry budget of each service.
     pub(crate) retries: BudgetLimits,
-    /// How long callers may keep a directory answer.
+    /// How long callers may cache a directory response.
     pub(crate) directory_ttl: Duration,
-    /// What costs are weighed against.
+    /// Costs that decisions trade off against each other.
     pub(crate) costs: CostSettings,
-    /// How exactly teams are held to their limits.
+    /// How strictly the limits of teams are enforced.
     pub(crate) quotas: QuotaSettings,
-    /// How far the clock is moved on, for tests.
-    pub(crate) ahead: Duration,
-    /// Which mechanisms of the decisions are on.
+    /// Offset added to the clock, for tests.
+    pub(crate) clock_offset: Duration,
+    /// Which mechanisms of routing decisions are enabled.
     pub(crate) switches: DecisionSwitches,
 }
 
-/// Loads and checks a settings file.
+/// Loads and validates a settings file.
 pub(crate) fn load_settings(path: &Path) -> Result<GatewaySettings, SettingsError> {
     let document = IniDocument::load(path)?;
     let mut faults = FaultList::new();
@@ -130,7 +129,7 @@
     store_section.finish(faults);
     let bounds = document.single("bounds", faults)?;
     let stop_grace =
-        Duration::from_secs(bounds.or_default("stop-grace-s", DEFAULT_GRACE_S, faults));
+        Duration::from_secs(bounds.or_default("stop-grace-s", DEFAULT_STOP_GRACE_S, faults));
     let retries = BudgetLimits {
         ratio: bounds.or_default("retry-ratio", 0.1, faults),
         extra: bounds.or_default("retry-extra", 0.0, faults),
@@ -138,7 +137,7 @@
     };
     let directory_ttl = Duration::from_secs(bounds.or_default("directory-ttl-s", 5, faults));
     bounds.finish(faults);
-    let ahead = read_clock(document, faults);
+    let clock_offset = read_clock(document, faults);
     let switches = read_switches(document, faults);
     let costs = read_costs(document, faults);
     let quotas = read_quotas(document, faults);
@@ -159,32 +158,33 @@
         directory_ttl,
         costs,
         quotas,
-        ahead,
+        clock_offset,
         switches,
     })
 }
 
-/// The section is for tests only: it moves the process's clock on, as a suspension does.
+/// Reads the optional section for tests, which advances the process's clock as a suspension
+/// would.
 fn read_clock(document: &IniDocument, faults: &mut FaultList) -> Duration {
     let Some(clock) = document.readers("clock").next() else {
         return Duration::ZERO;
     };
-    let ahead = clock.or_default("ahead-ms", 0, faults);
+    let clock_offset = clock.or_default("ahead-ms", 0, faults);
     clock.finish(faults);
-    Duration::from_millis(ahead)
+    Duration::from_millis(clock_offset)
 }
 
-/// The section may be left out: then nothing beside the limits may be used.
+/// Reads an optional section. Without it, no team may exceed its limit.
 fn read_quotas(document: &IniDocument, faults: &mut FaultList) -> QuotaSettings {
-    let usual = QuotaSettings::default();
+    let defaults = QuotaSettings::default();
     let Some(section) = document.readers("quotas").next() else {
-        return usual;
+        return defaults;
     };
-    let way = section.or_default("way", usual.way, faults);
-    let window = usual.window.as_secs_f64();
+    let way = section.or_default("way", defaults.way, faults);
+    let window = defaults.window.as_secs_f64();
     let window = section.ranged("window-s", window, QUOTA_WINDOW_S, faults);
-    let over = section.ranged("over", usual.over, 0.0..=1.0, faults);
-    let slack = section.ranged("slack", usual.slack, 0.0..=f64::MAX, faults);
+    let over = section.ranged("over", defaults.over, 0.0..=1.0, faults);
+    let slack = section.ranged("slack", defaults.slack, 0.0..=f64::MAX, faults);
     section.finish(faults);
     QuotaSettings {
         way,
@@ -194,24 +194,24 @@
     }
 }
 
-/// The section may be left out.
+/// Reads an optional section.
 fn read_costs(document: &IniDocument, faults: &mut FaultList) -> CostSettings {
     let Some(costs) = document.readers("costs").next() else {
         return CostSettings::default();
     };
-    let usual = CostSettings::default();
+    let defaults = CostSettings::default();
     let range = 0.0..=f64::MAX;
-    let copied_gb = costs.ranged("copied-gb", usual.copied_gb, range, faults);
-    let reread_ms = usual.reprefill_penalty.as_secs_f64() * 1e3;
-    let reread_ms = costs.ranged("reread-ms", reread_ms, 0.0..=MOST_REREAD_MS, faults);
+    let copied_gb = costs.ranged("copied-gb", defaults.copied_gb, range, faults);
+    let reprefill_ms = defaults.reprefill_penalty.as_secs_f64() * 1e3;
+    let reprefill_ms = costs.ranged("reread-ms", reprefill_ms, 0.0..=MAX_REPREFILL_MS, faults);
     costs.finish(faults);
     CostSettings {
         copied_gb,
-        reprefill_penalty: Duration::from_secs_f64(reread_ms / 1e3),
+        reprefill_penalty: Duration::from_secs_f64(reprefill_ms / 1e3),
     }
 }
 
-/// The section may be left out: then everything is on.
+/// Reads an optional section. Without it, every mechanism is enabled.
 fn read_switches(document: &IniDocument, faults: &mut FaultList) -> DecisionSwitches {
     let Some(decisions) = document.readers("decisions").next() else {
         return DecisionSwitches::default();
@@ -222,7 +222,7 @@
     DecisionSwitches::new(policy, off)
 }
 
-/// What the settings say of this VM.
+/// The settings that describe this VM.
 struct VmSettings {
     place: VmLocation,
     capacity: VmCapacity,
--- a/crates/gateway/src/share.rs
+++ b/crates/gateway/src/share.rs
@@ -1,13 +1,13 @@
-//! Who watches the store for a region, and how the others learn of its changes.
+//! Which VMs of a region watch the store, and how its changes reach the other VMs.
 //!
-//! Each call of the store is priced, and its rate is shared by all VMs. So only
-//! [`STORE_WATCHERS`] VMs of a region watch, aggregators of different data centres
-//! where there are any; they pass changes on, aggregators to their members. A VM takes
-//! its copy from another one, and reads the store itself only if it watches, or if its
-//! copy stays behind what others tell.
+//! Each call to the store is charged for, and all VMs share its rate limit. So only
+//! [`STORE_WATCHERS`] VMs of a region watch it, aggregators of different data centres if there
+//! are any. They forward changes to the other VMs, and aggregators forward them to their
+//! members. A VM gets its copy from another VM. It reads the store itself only if it watches
+//! it, or if its copy stays behind the revisions that other VMs report.
 //!
-//! Invariant: a change that a watcher passes on reaches every VM of the region, or the
-//! gap that it leaves shows in the revision of the next one.
+//! Invariant: a change that a watcher forwards reaches every VM of the region, or the base
+//! revision of the next change shows that one is missing.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -22,77 +22,79 @@
 
 use crate::gateway::Gateway;
 
-/// VMs of a region that watch the store: one may die or be cut off from it.
+/// Number of VMs of a region that watch the store, so that one of them may fail or lose its
+/// connection to the store.
 const STORE_WATCHERS: usize = 2;
-/// Name of the duty among the VMs of a region.
+/// Name of this duty when VMs of a region are ranked for it.
 const WATCH_DUTY: &str = "watch store";
-/// How long nobody of the region may watch before the next VM in the order of the duty
-/// tries, and again until the one after it does: the store may turn some VMs away. An
-/// outage of nine seconds is met by 24 VMs of a region instead of all.
+/// How long a region may have no watcher before the next VM in the order tries to watch the
+/// store, and again until the VM after that tries: the store may reject some VMs. In an outage
+/// of nine seconds 24 VMs of a region call the store instead of all.
 const NEXT_WATCHER_AFTER: Duration = Duration::from_millis(400);
-/// Largest value that is passed on as it is, and most bytes of larger ones when they are
-/// packed. Where hundreds of VMs read the store instead, its link is taken for seconds.
-const PASSED_VALUE: usize = 32 * 1024;
-const PASSED_PACKED: usize = 128 * 1024;
-/// Changes kept for links that have not sent them yet; what a link misses shows
-/// at the other end as a gap, and is then asked for.
-const KEPT_DELTAS: usize = 64;
+/// Largest value that is forwarded uncompressed, and the size limit for larger values once
+/// packed. If hundreds of VMs read such values from the store instead, its network link is
+/// saturated for seconds.
+const MAX_PLAIN_VALUE_BYTES: usize = 32 * 1024;
+const MAX_PACKED_BYTES: usize = 128 * 1024;
+/// Number of changes kept for links that have not sent them yet. If a link misses one, the
+/// receiver sees a gap in the revisions and requests the missing entries.
+const MAX_DELTAS: usize = 64;
 
-/// Who is told of a change.
+/// Receivers of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DeltaAudience {
-    /// Every VM to which there is a link in the region.
+    /// Every VM in the region that this VM has a link to.
     Everyone,
-    /// VMs that report to this one: the others have it from elsewhere.
+    /// The members of this VM: other VMs get the change from another sender.
     Members,
 }
 
-/// Another VM's copy of the store, as it tells.
+/// State of another VM's copy of the store, as that VM reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PeerCopy {
-    /// Its state.
+    /// Revision and hash of the copy.
     pub(crate) state: CopyState,
-    /// Whether it holds everything.
+    /// Whether the copy is complete.
     pub(crate) is_whole: bool,
 }
 
-/// Changes to pass on, and how this VM's copy compares with what others tell.
+/// Changes to forward, and how this VM's copy compares with those of other VMs.
 #[derive(Debug, Default)]
 pub(crate) struct StoreShare {
     deltas: VecDeque<(DeltaAudience, StoreDelta)>,
-    /// Number of the first delta that is kept.
+    /// Number of the oldest delta that is kept.
     first: u64,
     check: CopyCheck,
-    /// Whether this VM's copy holds everything.
+    /// Whether this VM's copy is complete.
     is_whole: bool,
-    /// Since when no VM of the region says that it watches.
+    /// Since when no VM of the region has reported that it watches the store.
     unwatched_since: Option<Moment>,
-    /// What the VM that was heard last told of its copy.
-    last_heard: Option<(VmName, PeerCopy)>,
+    /// The VM whose update arrived last, and the state of its copy.
+    last_peer_copy: Option<(VmName, PeerCopy)>,
 }
 
 impl StoreShare {
-    /// Number that the next delta will get.
+    /// Number of the next delta.
     pub(crate) fn next_number(&self) -> u64 {
         self.first + self.deltas.len() as u64
     }
 
-    /// The deltas for an audience from number `from` on that are still kept.
+    /// The deltas for an audience that are still kept, starting at number `from`.
     pub(crate) fn deltas_from(&self, from: u64, audience: DeltaAudience) -> Vec<StoreDelta> {
         let skipped = usize::try_from(from.saturating_sub(self.first)).unwrap_or(usize::MAX);
-        let is_meant = |meant: DeltaAudience| match audience {
-            DeltaAudience::Everyone => meant == DeltaAudience::Everyone,
+        let is_included = |target: DeltaAudience| match audience {
+            DeltaAudience::Everyone => target == DeltaAudience::Everyone,
             DeltaAudience::Members => true,
         };
         let kept = self.deltas.iter().skip(skipped);
-        kept.filter(|(meant, _)| is_meant(*meant))
+        kept.filter(|(target, _)| is_included(*target))
             .map(|(_, delta)| delta.clone())
             .collect()
     }
 
     fn push(&mut self, audience: DeltaAudience, delta: StoreDelta) {
         self.deltas.push_back((audience, delta));
-        if self.deltas.len() > KEPT_DELTAS {
+        if self.deltas.len() > MAX_DELTAS {
             self.deltas.pop_front();
             self.first += 1;
         }
@@ -126,23 +128,23 @@
         if order[..rank].iter().any(is_watcher) {
             return false;
         }
-        let turn = u32::try_from(rank - STORE_WATCHERS + 1).unwrap_or(u32::MAX);
-        let waits = NEXT_WATCHER_AFTER.saturating_mul(turn);
+        let step = u32::try_from(rank - STORE_WATCHERS + 1).unwrap_or(u32::MAX);
+        let delay = NEXT_WATCHER_AFTER.saturating_mul(step);
         self.store.borrow().is_watched()
             || share
                 .unwatched_since
-                .is_some_and(|since| now - since >= waits)
+                .is_some_and(|since| now - since >= delay)
     }
 
-    /// The VMs of this region in the order in which they watch the store. Worked out anew
-    /// only when a VM has changed: it is asked for twenty times a second, and puts all VMs
-    /// of the fleet in order.
+    /// The VMs of this region, ordered by who watches the store first. The order is cached
+    /// until a VM changes: it is read twenty times a second, and computing it ranks all VMs of
+    /// the fleet.
     pub(crate) fn watch_order(&self) -> Rc<[VmName]> {
         let overlay = self.overlay.borrow();
         let changes = overlay.roster().changes();
         let kept = &mut *self.watch_order.borrow_mut();
-        if let Some((of, order)) = kept
-            && *of == changes
+        if let Some((version, order)) = kept
+            && *version == changes
         {
             return Rc::clone(order);
         }
@@ -152,37 +154,37 @@
         order
     }
 
-    /// Whether this VM's copy of the store holds everything.
+    /// Whether this VM's copy of the store is complete.
     pub(crate) fn copy_is_whole(&self) -> bool {
         self.share.borrow().is_whole
     }
 
-    /// Whether this VM's copy misses something, so that it must be read.
+    /// Whether this VM's copy lacks changes and has to be read from the store.
     pub(crate) fn must_catch_up(&self) -> bool {
         self.share.borrow().check.is_due(self.now())
     }
 
-    /// Whether another VM has told of a later revision of the store.
-    pub(crate) fn knows_later_revision(&self) -> bool {
+    /// Whether another VM has reported a later revision of the store.
+    pub(crate) fn is_behind_peers(&self) -> bool {
         let own = self.mirror.borrow().revision();
         self.share.borrow().check.is_outdated(own)
     }
 
-    /// Notes that this VM's copy holds everything.
-    pub(crate) fn note_caught_up(&self) {
+    /// Records that this VM's copy is complete.
+    pub(crate) fn record_caught_up(&self) {
         let mut share = self.share.borrow_mut();
         share.check.record_full_read(self.now());
         share.is_whole = true;
     }
 
-    /// Keeps changes for the links to the other VMs of the region; `base` is the
-    /// revision of the copy before them.
+    /// Queues changes for the links to the other VMs of the region if this VM watches the
+    /// store. `base` is the revision of the copy before the changes.
     pub(crate) fn pass_on(&self, base: u64, changes: &[MirrorChange]) {
         let mirror = self.mirror.borrow();
-        let is_news = !changes.is_empty() || mirror.revision() != base;
-        if is_news && self.store.borrow().is_watched() {
-            let delta = mirror.delta(base, changes, PASSED_VALUE);
-            let large = mirror.large_items(changes, PASSED_VALUE);
+        let has_changes = !changes.is_empty() || mirror.revision() != base;
+        if has_changes && self.store.borrow().is_watched() {
+            let delta = mirror.delta(base, changes, MAX_PLAIN_VALUE_BYTES);
+            let large = mirror.large_items(changes, MAX_PLAIN_VALUE_BYTES);
             let delta = to_wire(delta, large);
             self.push_delta(DeltaAudience::Everyone, delta);
         }
@@ -196,9 +198,9 @@
         }
     }
 
-    /// Takes changes that another VM passes on, unless this VM watches the store itself or
-    /// knows of a later era.
-    pub(crate) fn take_delta(&self, from: &VmName, delta: StoreDelta) {
+    /// Applies changes that another VM forwards. They are ignored if this VM watches the store
+    /// itself or its copy is of a later era.
+    pub(crate) fn apply_delta(&self, from: &VmName, delta: StoreDelta) {
         if self.store.borrow().is_watched() || self.mirror.borrow().is_past_era(delta.revision) {
             return;
         }
@@ -206,8 +208,8 @@
         let large = match unpack_large(&delta) {
             Ok(large) => large,
             Err(e) => {
-                // As if they had been left out: they are read.
-                log::warn!(from = from.as_str(), error:% = e; "packed change not understood");
+                // Handled like items that the sender left out: they are read from the store.
+                log::warn!(from = from.as_str(), error:% = e; "cannot unpack store change");
                 self.metrics.count("onyxfall_items_not_understood_total");
                 Vec::new()
             }
@@ -231,15 +233,15 @@
             base,
             before,
             changes = changes.len();
-            "changes of the store taken from another VM"
+            "applied store changes from another VM"
         );
-        self.push_delta(self.audience_beside(from), delta);
+        self.push_delta(self.audience_after(from), delta);
         self.apply_changes(changes);
     }
 
-    /// Who has not heard of a change that came from a VM: it tells aggregators itself,
-    /// unless it is a member of this one.
-    fn audience_beside(&self, from: &VmName) -> DeltaAudience {
+    /// Receivers that still need a change received from `from`. A VM that is not a member of
+    /// this one sends its changes to the other aggregators itself.
+    fn audience_after(&self, from: &VmName) -> DeltaAudience {
         let overlay = self.overlay.borrow();
         let is_member = overlay.totals().members().any(|member| member == from);
         if is_member {
@@ -249,8 +251,8 @@
         }
     }
 
-    /// Compares this VM's copy with what another VM tells of its own.
-    pub(crate) fn compare_copy(&self, from: &VmName, copy: PeerCopy) {
+    /// Compares this VM's copy with the state that another VM reports for its own.
+    pub(crate) fn record_peer_copy(&self, from: &VmName, copy: PeerCopy) {
         let now = self.now();
         let own = self.mirror.borrow().state();
         let is_watcher = {
@@ -265,20 +267,20 @@
         if is_watcher {
             share.check.compare_with_watcher(now, own, copy.state);
         }
-        share.last_heard = Some((from.clone(), copy));
+        share.last_peer_copy = Some((from.clone(), copy));
     }
 
-    /// Whether to ask the VM that was heard last for its copy of the store.
-    pub(crate) fn asks_copy_of(&self, vm: &VmName) -> bool {
-        if self.store.borrow().is_watched() || self.awaits_copy() {
+    /// Whether to request a copy of the store from `vm`, whose update arrived last.
+    pub(crate) fn should_request_copy(&self, vm: &VmName) -> bool {
+        if self.store.borrow().is_watched() || self.is_receiving_copy() {
             return false;
         }
         let now = self.now();
         let own = self.mirror.borrow().state();
         let share = &mut *self.share.borrow_mut();
         let own = share.is_whole.then_some(own);
-        match &share.last_heard {
-            Some((heard, copy)) if heard == vm && copy.is_whole => {
+        match &share.last_peer_copy {
+            Some((peer, copy)) if peer == vm && copy.is_whole => {
                 share.check.asks(now, own, copy.state)
             }
             _ => false,
@@ -286,8 +288,8 @@
     }
 }
 
-/// The VMs of this region in the order in which they watch the store: aggregators
-/// before the others.
+/// The VMs of this region, ordered by who watches the store first: aggregators before the
+/// others.
 fn watch_order(roster: &Roster) -> Vec<&VmName> {
     let own = roster.own();
     let levels = roster.levels();
@@ -297,7 +299,7 @@
             .iter()
             .any(|aggregator| aggregator.name == vm.name)
     };
-    let rest: Vec<&VmRecord> = roster
+    let others: Vec<&VmRecord> = roster
         .others()
         .filter(|vm| vm.is_staying() && roster.is_near(&vm.record))
         .map(|vm| &vm.record)
@@ -305,11 +307,11 @@
         .filter(|vm| !is_aggregator(vm))
         .collect();
     let mut order = roster.duty_order(WATCH_DUTY, aggregators);
-    order.extend(roster.duty_order(WATCH_DUTY, &rest));
+    order.extend(roster.duty_order(WATCH_DUTY, &others));
     order
 }
 
-/// An item as other VMs get it.
+/// Converts an item of the store to its wire form.
 pub(crate) fn wire_item(item: StoreItem) -> SnapshotItem {
     SnapshotItem {
         key: item.key,
@@ -318,8 +320,8 @@
     }
 }
 
-/// An item of another VM's copy. Its value is kept for itself: as a part of its frame it
-/// would hold the whole of it for as long as it stands.
+/// Converts an item received from another VM. The value is copied: a slice of the received
+/// frame would keep the whole frame in memory as long as the item exists.
 pub(crate) fn store_item(item: SnapshotItem) -> StoreItem {
     StoreItem {
         key: item.key,
@@ -328,7 +330,8 @@
     }
 }
 
-/// Changes as other VMs get them: large items packed, or left out if they are larger still.
+/// Converts changes to their wire form. Large items are packed, or left out if they are too
+/// large even then.
 fn to_wire(delta: MirrorDelta, large: Vec<StoreItem>) -> StoreDelta {
     let packed = if large.is_empty() {
         Bytes::new()
@@ -347,19 +350,19 @@
 
 fn pack_large(items: Vec<SnapshotItem>) -> Bytes {
     match pack_items(items) {
-        Ok(packed) if packed.len() <= PASSED_PACKED => packed,
+        Ok(packed) if packed.len() <= MAX_PACKED_BYTES => packed,
         Ok(packed) => {
-            log::info!(bytes = packed.len(); "changed items are too large to be passed on");
+            log::info!(bytes = packed.len(); "changed items too large to forward");
             Bytes::new()
         }
         Err(e) => {
-            log::warn!(error:% = e; "changed items not packed");
+            log::warn!(error:% = e; "cannot pack changed items");
             Bytes::new()
         }
     }
 }
 
-/// The items of a change that were packed.
+/// Unpacks the packed items of a change.
 fn unpack_large(delta: &StoreDelta) -> Result<Vec<SnapshotItem>, PackError> {
     if delta.packed.is_empty() {
         return Ok(Vec::new());
--- a/crates/gateway/src/words.rs
+++ b/crates/gateway/src/signals.rs
@@ -1,4 +1,4 @@
-//! What servers say of themselves in their answers: noted and logged.
+//! Applies and logs the signals that servers send in response headers.
 
 use http::HeaderMap;
 use onyxfall_adapter::unknown_signal_headers;
@@ -10,33 +10,38 @@
 use crate::gateway::Gateway;
 use crate::report::millis;
 
-/// Names of unknown headers that are logged in one life of the process.
-const MOST_UNKNOWN_WORDS: usize = 32;
+/// Most unknown header names that one process logs.
+const MAX_LOGGED_HEADERS: usize = 32;
 
 impl Gateway {
-    /// Takes what the head of an answer says of the server that gave it. It holds for all
-    /// further requests before any of the answer is passed on.
-    pub(crate) fn record_signals(&self, call: &CallContext, server: ServerId, word: ServerSignals) {
-        if word.rest == BackoffSignal::None && !word.is_leaving {
+    /// Applies the signals in the head of a response, before any of the response is forwarded.
+    /// They hold for all further requests.
+    pub(crate) fn record_signals(
+        &self,
+        call: &CallContext,
+        server: ServerId,
+        signals: ServerSignals,
+    ) {
+        if signals.rest == BackoffSignal::None && !signals.is_leaving {
             return;
         }
         let now = self.now();
-        let news = self.fleet.borrow_mut().apply_signals(now, server, &word);
-        if word.rest == BackoffSignal::Malformed {
+        let changes = self.fleet.borrow_mut().apply_signals(now, server, &signals);
+        if signals.rest == BackoffSignal::Malformed {
             self.metrics.count("onyxfall_malformed_rests_total");
         }
-        if news != SignalChanges::default() {
-            self.log_signal_changes(call, server, news);
+        if changes != SignalChanges::default() {
+            self.log_signal_changes(call, server, changes);
         }
     }
 
-    /// Logs what this VM believes from now on; one line for each change.
-    fn log_signal_changes(&self, call: &CallContext, server: ServerId, news: SignalChanges) {
+    /// Logs signal changes, one line for each.
+    fn log_signal_changes(&self, call: &CallContext, server: ServerId, changes: SignalChanges) {
         let counted = [
-            (news.leaves, "onyxfall_leavings_told_total"),
-            (news.rests, "onyxfall_rests_asked_total"),
+            (changes.leaves, "onyxfall_leavings_told_total"),
+            (changes.rests, "onyxfall_rests_asked_total"),
         ];
-        for (_, name) in counted.iter().filter(|(is_news, _)| *is_news) {
+        for (_, name) in counted.iter().filter(|(has_changed, _)| *has_changed) {
             self.metrics.count(name);
         }
         let now = self.now();
@@ -47,33 +52,38 @@
             request = call.request_id.as_str(),
             server = state.record.name.as_str(),
             born:% = state.record.born,
-            leaves = news.leaves,
-            rests = news.rests,
+            leaves = changes.leaves,
+            rests = changes.rests,
             rest_ms = millis(backoff_end - now);
-            "a server wants no work"
+            "a server is draining or asks for backoff"
         );
     }
 
-    /// Takes what the head of an answer says of its server's limit; `sent` is when its
-    /// request was sent, where the answer is that request's own.
-    pub(crate) fn record_limit(&self, server: ServerId, word: LimitSignal, sent: Option<Moment>) {
+    /// Applies the limit in the head of a response. `sent_at` is when the request was sent, if the
+    /// response belongs to that request.
+    pub(crate) fn record_limit(
+        &self,
+        server: ServerId,
+        limit: LimitSignal,
+        sent_at: Option<Moment>,
+    ) {
         let now = self.now();
-        if word == LimitSignal::Malformed {
+        if limit == LimitSignal::Malformed {
             self.metrics.count("onyxfall_malformed_limits_total");
         }
         let was_limited = self.is_limited(now, server);
         let mut fleet = self.fleet.borrow_mut();
-        fleet.apply_limit(now, server, word, sent);
+        fleet.apply_limit(now, server, limit, sent_at);
         drop(fleet);
         self.log_limit_change(now, server, was_limited);
     }
 
-    /// Whether a server is in need, as far as this VM knows.
+    /// Whether a limit for the server is in force on this VM.
     pub(crate) fn is_limited(&self, now: Moment, server: ServerId) -> bool {
         self.fleet.borrow().server(server).limit(now).is_some()
     }
 
-    /// Logs that a limit of a server has come into force, or has ended.
+    /// Logs that a limit for a server has started or ended.
     pub(crate) fn log_limit_change(&self, now: Moment, server: ServerId, was_limited: bool) {
         let fleet = self.fleet.borrow();
         let state = fleet.server(server);
@@ -90,14 +100,13 @@
         );
     }
 
-    /// Counts headers by which a server describes itself and that this version does not
-    /// know, and logs each name once.
+    /// Counts signal headers that this version does not support, and logs each name once.
     pub(crate) fn record_unknown_signal_headers(&self, headers: &HeaderMap) {
         for name in unknown_signal_headers(headers) {
             self.metrics.count("onyxfall_unknown_words_total");
             let mut seen = self.unknown_signal_headers.borrow_mut();
-            if seen.len() < MOST_UNKNOWN_WORDS && seen.insert(name.to_owned()) {
-                log::warn!(name; "servers use a header that is not known");
+            if seen.len() < MAX_LOGGED_HEADERS && seen.insert(name.to_owned()) {
+                log::warn!(name; "unknown signal header in a response");
             }
         }
     }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -1,11 +1,11 @@
-//! The link to the platform's store: one watch over everything that matters.
+//! Reads and watches the platform's store, with one watch for all keys that matter.
 //!
-//! A VM that starts reads the first page, which holds the configuration, and gets the
-//! rest from another VM; only those that watch, and the VMs of the settings' addresses,
-//! read everything. A watch goes on from the revision of the last answer. When it is
-//! cut, or the history is gone, everything is read again: a store that drops its
-//! history may cut watches before it refuses them. While the store does not answer, the
-//! copy stays in force and peers may have a newer one.
+//! A VM that starts reads the first page, which holds the configuration, and gets the rest from
+//! another VM. Only the watching VMs and those listed as seeds in the settings read every page.
+//! A watch continues from the revision of the last response. If the watch fails, or the store
+//! has discarded that revision's history, everything is read again: a store that discards its
+//! history may cut watches before it rejects them. While the store is unavailable, the copy
+//! stays in force, and peers may have a newer one.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -26,60 +26,61 @@
 use crate::gateway::Gateway;
 use crate::store_client::{CallError, StoreClient};
 
-/// How long the store may hold a watch. Each call is priced; a dead connection
-/// is found by probes, so this is the bound for a store that hangs.
-const WATCH_WAIT: Duration = Duration::from_secs(8);
-/// Pauses between calls that fail: from this, doubled, up to the next.
-const FIRST_PAUSE: Duration = Duration::from_millis(60);
-const LAST_PAUSE: Duration = Duration::from_millis(700);
-/// The same for a VM that need not watch: it takes the copy of one that does, and
-/// refused calls are priced too.
-const LAST_IDLE_PAUSE: Duration = Duration::from_millis(2100);
-/// Age from which a VM without a whole copy reads everything itself: another VM's copy
-/// takes some 0.4 s where all start at once.
-const READ_ALONE_AFTER: Duration = Duration::from_millis(1200);
-/// The same for a VM that others aggregate for: hundreds of them would read megabytes at
-/// once, the store's link would be taken for half a minute, and with its first page each
-/// can serve.
-const READ_BESIDE_AFTER: Duration = Duration::from_secs(5);
-/// Spread of that age: all VMs may have started at once.
-const READ_ALONE_SPREAD: Duration = Duration::from_millis(800);
-/// The same where no other VM was heard yet.
-const ALONE_AFTER: Duration = Duration::from_millis(300);
-/// Pause after an answer of a watch, so that changes that come close together
-/// cost one call; far below the bounds on what must be in force.
-const BATCH_PAUSE: Duration = Duration::from_millis(150);
-/// Look whether another VM watches.
-const FOLLOW_LOOK: Duration = Duration::from_millis(50);
+/// How long the store may hold a watch request. Each call is charged for, and probes detect a
+/// dead connection, so this only bounds the wait for a store that hangs.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(8);
+/// First and largest delay between failed calls; the delay doubles from one to the other.
+const MIN_BACKOFF: Duration = Duration::from_millis(60);
+const MAX_BACKOFF: Duration = Duration::from_millis(700);
+/// Largest delay between failed calls of a VM that need not watch: it gets its copy from a VM
+/// that does, and rejected calls are charged for too.
+const MAX_IDLE_BACKOFF: Duration = Duration::from_millis(2100);
+/// Age from which a VM without a complete copy reads everything itself: getting the copy from
+/// another VM takes about 0.4 s if all VMs start at once.
+const READ_AFTER: Duration = Duration::from_millis(1200);
+/// Age from which a member of an aggregator reads everything itself if it has no complete copy.
+/// If hundreds of members read megabytes at once, the store's network link would be saturated
+/// for half a minute, and a member can serve with the first page alone.
+const MEMBER_READ_AFTER: Duration = Duration::from_secs(5);
+/// Upper bound of the jitter added to these ages, doubled for members, since all VMs may have
+/// started at once.
+const READ_JITTER: Duration = Duration::from_millis(800);
+/// Age from which a VM that has no contact with any other VM reads everything itself.
+const NO_PEERS_READ_AFTER: Duration = Duration::from_millis(300);
+/// Delay after a watch response, so that changes in quick succession cost one call. It is far
+/// below the limits on how soon a change must be in force.
+const BATCH_DELAY: Duration = Duration::from_millis(150);
+/// Interval at which a VM that does not watch checks whether it has to.
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What is known of the store's availability.
+/// Availability of the store, as this VM observes it.
 #[derive(Debug, Default)]
 pub(crate) struct StoreLink {
     is_reached: bool,
     is_watched: bool,
     was_lost: bool,
-    /// When changes may have been missed, until everything is read.
+    /// Time at which changes may have been missed, until everything is read again.
     missed_at: Option<Moment>,
     returned_at: Option<Moment>,
 }
 
 impl StoreLink {
-    /// Whether this VM itself watches.
+    /// Whether this VM watches the store itself.
     pub(crate) fn is_watched(&self) -> bool {
         self.is_reached && self.is_watched
     }
 
-    /// Notes that changes may have been missed.
-    pub(crate) fn note_missed(&mut self, now: Moment) {
+    /// Records that changes may have been missed.
+    pub(crate) fn record_missed_changes(&mut self, now: Moment) {
         self.missed_at = Some(now);
     }
 
-    fn lose(&mut self) -> bool {
+    fn mark_lost(&mut self) -> bool {
         self.was_lost = true;
         std::mem::replace(&mut self.is_reached, false)
     }
 
-    fn gain(&mut self, now: Moment) -> bool {
+    fn mark_reached(&mut self, now: Moment) -> bool {
         if self.is_reached {
             return false;
         }
@@ -90,10 +91,10 @@
         true
     }
 
-    /// How news is to be taken: leases may have run out during an outage.
+    /// How to treat changes of the store: leases may have expired during an outage.
     pub(crate) fn health(&self, now: Moment) -> StoreHealth {
-        let lately = self.returned_at.is_some_and(|at| now - at < RETURN_WINDOW);
-        if lately || (!self.is_reached && self.was_lost) {
+        let recently_returned = self.returned_at.is_some_and(|at| now - at < RETURN_WINDOW);
+        if recently_returned || (!self.is_reached && self.was_lost) {
             StoreHealth::Returned
         } else {
             StoreHealth::Steady
@@ -104,98 +105,99 @@
 /// Why a watch ended.
 #[derive(Debug, Error)]
 enum WatchEnd {
-    #[error("the watch ended: {0}")]
+    #[error("the watch failed: {0}")]
     Failed(CallError),
-    #[error("another VM watches")]
-    Relieved,
+    #[error("another VM has taken over the watch")]
+    TakenOver,
 }
 
-/// Starts the task that reads and watches.
+/// Starts the task that reads and watches the store.
 pub(crate) fn start(gateway: &Rc<Gateway>) {
-    let spread = READ_ALONE_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0));
-    let mut watch = StoreWatch {
+    let read_jitter = READ_JITTER.mul_f64(rand::rng().random_range(0.0..1.0));
+    let mut reader = StoreReader {
         gateway: Rc::clone(gateway),
         client: StoreClient::new(gateway),
-        pause: FIRST_PAUSE,
-        spread,
+        backoff: MIN_BACKOFF,
+        read_jitter,
     };
-    tokio::task::spawn_local(async move { watch.run().await });
+    tokio::task::spawn_local(async move { reader.run().await });
 }
 
-/// Waits until others have known for a while what a watch that is under way has not
-/// brought: one that works answers at once. A VM that is behind by a moment again and
-/// again, as where changes never end, is not deaf, since its watch answers meanwhile.
-async fn wait_until_deaf(gateway: &Gateway) {
+/// Waits until peers have reported a later revision than this VM's for [`BEHIND_LIMIT`] without
+/// a break. A working watch responds at once, so the pending one is stalled. A VM that falls
+/// behind for moments only, as under constant changes, is not stalled: its watch responds in
+/// between.
+async fn wait_until_stalled(gateway: &Gateway) {
     let mut waited = Duration::ZERO;
     while waited < BEHIND_LIMIT {
-        tokio::time::sleep(FOLLOW_LOOK).await;
-        waited = if gateway.knows_later_revision() {
-            waited + FOLLOW_LOOK
+        tokio::time::sleep(FOLLOW_INTERVAL).await;
+        waited = if gateway.is_behind_peers() {
+            waited + FOLLOW_INTERVAL
         } else {
             Duration::ZERO
         };
     }
 }
 
-struct StoreWatch {
+struct StoreReader {
     gateway: Rc<Gateway>,
     client: StoreClient,
-    pause: Duration,
-    /// This VM's part of the spread of the age from which it reads everything itself if it
-    /// has no whole copy.
-    spread: Duration,
+    backoff: Duration,
+    /// This VM's share of [`READ_JITTER`], added to the age from which it reads everything
+    /// itself.
+    read_jitter: Duration,
 }
 
-impl StoreWatch {
+impl StoreReader {
     async fn run(&mut self) {
-        self.read_first().await;
+        self.read_at_start().await;
         loop {
             if self.gateway.has_watch_duty() {
-                self.hold_duty().await;
+                self.watch_for_region().await;
             } else {
-                self.follow().await;
+                self.follow_peers().await;
             }
         }
     }
 
-    /// Reads the first page at the start, with the configuration; all pages if other
-    /// VMs begin with this one.
-    async fn read_first(&mut self) {
+    /// Reads the store at startup: the first page, which holds the configuration, or all pages
+    /// if this VM is a seed from which others start.
+    async fn read_at_start(&mut self) {
         let settings = self.gateway.settings();
         let is_seed = settings.seeds.contains(&settings.peers);
         let read = if is_seed {
             self.read_all("start").await.map(|_| ())
         } else {
-            self.read_start().await.map(|_| ())
+            self.read_first_page().await.map(|_| ())
         };
         match read {
-            Ok(()) => self.note_success(),
-            Err(e) => self.note_failure(&e).await,
+            Ok(()) => self.record_success(),
+            Err(e) => self.record_failure(&e).await,
         }
     }
 
-    async fn read_start(&mut self) -> Result<StorePosition, CallError> {
+    async fn read_first_page(&mut self) -> Result<StorePosition, CallError> {
         let page = self.read_page(None, "start").await?;
         let (position, is_all) = (page.position, !page.has_more);
         let listed = page.items.iter().map(|item| item.key.clone()).collect();
-        self.take_events(page.items.into_iter().map(StoreEvent::Put).collect());
+        self.apply_events(page.items.into_iter().map(StoreEvent::Put).collect());
         if is_all {
-            self.note_listed(position, &listed);
+            self.apply_listing(position, &listed);
         }
         Ok(position)
     }
 
-    /// Watches the store for the region until that fails or another VM does. A VM
-    /// whose copy is whole goes on from it once a page has shown that the store
-    /// answers in the same era; after a failed watch everything is read.
-    async fn hold_duty(&mut self) {
+    /// Watches the store for the region until the store fails or another VM takes over. With a
+    /// complete copy, the watch continues from its revision after one page has shown that the
+    /// store is reachable and in the same era. After a failed watch, everything is read again.
+    async fn watch_for_region(&mut self) {
         let has_missed = self.gateway.store.borrow().missed_at.is_some();
         let is_current =
             self.gateway.copy_is_whole() && !self.gateway.must_catch_up() && !has_missed;
-        let held = StorePosition::from_order(self.gateway.mirror.borrow().revision());
+        let current = StorePosition::from_order(self.gateway.mirror.borrow().revision());
         let read = if is_current {
-            match self.read_start().await {
-                Ok(position) if position.era() == held.era() => Ok(held),
+            match self.read_first_page().await {
+                Ok(position) if position.era() == current.era() => Ok(current),
                 Ok(_) => self.read_all("restored").await,
                 Err(e) => Err(e),
             }
@@ -204,25 +206,25 @@
         };
         let position = match read {
             Ok(position) => position,
-            Err(e) => return self.note_failure(&e).await,
+            Err(e) => return self.record_failure(&e).await,
         };
-        self.note_success();
+        self.record_success();
         let mut end = self.watch_from(position).await;
         while let WatchEnd::Failed(_) = end {
-            log::info!(cause:% = end; "reading everything");
+            log::info!(cause:% = end; "watch failed; reading all pages again");
             match self.read_all("cut").await {
                 Ok(position) => {
-                    self.note_success();
+                    self.record_success();
                     end = self.watch_from(position).await;
                 }
-                Err(e) => return self.note_failure(&e).await,
+                Err(e) => return self.record_failure(&e).await,
             }
         }
-        log::info!("another VM watches the store for this one");
+        log::info!("another VM has taken over watching the store");
     }
 
-    /// Watches until an answer fails, or another VM watches for this one; a cut
-    /// is not yet a failure of the store.
+    /// Watches until a call fails or another VM takes over. A single failed watch does not
+    /// count as an outage of the store.
     async fn watch_from(&mut self, mut position: StorePosition) -> WatchEnd {
         self.set_watched(true);
         let end = loop {
@@ -230,14 +232,14 @@
                 Ok(batch) => {
                     position = batch.position.max(position);
                     if !batch.events.is_empty() {
-                        self.take_events(batch.events);
-                        tokio::time::sleep(BATCH_PAUSE).await;
+                        self.apply_events(batch.events);
+                        tokio::time::sleep(BATCH_DELAY).await;
                     }
                 }
                 Err(e) => break WatchEnd::Failed(e),
             }
             if !self.gateway.has_watch_duty() {
-                break WatchEnd::Relieved;
+                break WatchEnd::TakenOver;
             }
         };
         self.set_watched(false);
@@ -249,20 +251,20 @@
         self.gateway.refresh_status();
     }
 
-    /// Lives on what other VMs pass on until this VM has to watch.
-    async fn follow(&mut self) {
+    /// Relies on changes that other VMs forward until this VM has to watch.
+    async fn follow_peers(&mut self) {
         while !self.gateway.has_watch_duty() {
             if self.must_read() {
                 match self.read_all("behind").await {
-                    Ok(_) => self.note_success(),
-                    Err(e) => self.note_failure(&e).await,
+                    Ok(_) => self.record_success(),
+                    Err(e) => self.record_failure(&e).await,
                 }
             }
-            tokio::time::sleep(FOLLOW_LOOK).await;
+            tokio::time::sleep(FOLLOW_INTERVAL).await;
         }
     }
 
-    /// Whether this VM, which need not watch, has to read the store itself.
+    /// Whether this VM has to read the store itself although it need not watch it.
     fn must_read(&self) -> bool {
         if self.gateway.store.borrow().missed_at.is_some() {
             return true;
@@ -272,21 +274,21 @@
         }
         let age = self.gateway.started.elapsed();
         let is_alone = !self.gateway.has_live_peers();
-        let patience = if self.gateway.is_member() {
-            READ_BESIDE_AFTER + self.spread * 2
+        let delay = if self.gateway.is_member() {
+            MEMBER_READ_AFTER + self.read_jitter * 2
         } else {
-            READ_ALONE_AFTER + self.spread
+            READ_AFTER + self.read_jitter
         };
-        let is_late = age >= patience && !self.gateway.awaits_copy();
-        is_late || (is_alone && age >= ALONE_AFTER)
+        let is_overdue = age >= delay && !self.gateway.is_receiving_copy();
+        is_overdue || (is_alone && age >= NO_PEERS_READ_AFTER)
     }
 
-    fn take_events(&self, events: Vec<StoreEvent>) {
-        self.take(|mirror, now, health| mirror.apply(now, events, health));
+    fn apply_events(&self, events: Vec<StoreEvent>) {
+        self.update_mirror(|mirror, now, health| mirror.apply(now, events, health));
     }
 
-    /// Changes the copy, passes the changes on and acts on them.
-    fn take(
+    /// Changes the copy, forwards the changes and applies them.
+    fn update_mirror(
         &self,
         change: impl FnOnce(&mut StoreMirror, Moment, StoreHealth) -> Vec<MirrorChange>,
     ) {
@@ -298,38 +300,38 @@
         self.gateway.apply_changes(changes);
     }
 
-    /// Reads every page; the position from which a watch goes on.
+    /// Reads every page. Returns the position from which to watch.
     async fn read_all(&mut self, cause: &'static str) -> Result<StorePosition, CallError> {
         let mut listed = BTreeSet::new();
         let mut position = None;
         let mut after: Option<String> = None;
         loop {
             let page = self.read_page(after.as_deref(), cause).await?;
-            // The pages are no snapshot: watching goes on from the first one.
+            // The pages are not one snapshot, so the watch starts from the first one.
             let first = *position.get_or_insert(page.position);
             if page.position.era() != first.era() {
                 return Err(CallError::Store(StoreError::Restored));
             }
             after = page.items.last().map(|item| item.key.clone());
             let is_last = !page.has_more || after.is_none();
-            // The store may be a region away, and there may be many pages: what is
-            // there counts at once, what is missing shows with the last page.
+            // The store may be in another region and have many pages. Items that are listed are
+            // applied at once; items that are missing are known only after the last page.
             listed.extend(page.items.iter().map(|item| item.key.clone()));
-            self.take_events(page.items.into_iter().map(StoreEvent::Put).collect());
+            self.apply_events(page.items.into_iter().map(StoreEvent::Put).collect());
             if is_last {
-                self.note_listed(first, &listed);
+                self.apply_listing(first, &listed);
                 return Ok(first);
             }
         }
     }
 
-    /// Takes note that the store holds nothing but the items listed.
-    fn note_listed(&self, position: StorePosition, listed: &BTreeSet<String>) {
-        self.take(|mirror, now, health| {
+    /// Removes all items that are not listed, since the store no longer has them.
+    fn apply_listing(&self, position: StorePosition, listed: &BTreeSet<String>) {
+        self.update_mirror(|mirror, now, health| {
             mirror.remove_unlisted(now, WATCHED_PREFIX, listed, position.order(), health)
         });
         self.gateway.store.borrow_mut().missed_at = None;
-        self.gateway.note_caught_up();
+        self.gateway.record_caught_up();
     }
 
     async fn read_page(
@@ -340,55 +342,56 @@
         let request = range_request(&self.client.host(), WATCHED_PREFIX, after);
         let reply = self.client.call(request, Duration::ZERO, cause).await?;
         let page = read_page(reply.status, &reply.headers, &reply.body)?;
-        self.note_position(page.position);
+        self.check_restored(page.position);
         Ok(page)
     }
 
     async fn watch(&mut self, after: StorePosition) -> Result<EventBatch, CallError> {
         let host = self.client.host();
-        let request = watch_request(&host, WATCHED_PREFIX, after, WATCH_WAIT);
-        // A watch may have gone silent, alone or with its connection. Until its own end it
-        // would leave this VM, and those that it watches for, behind for eight seconds.
+        let request = watch_request(&host, WATCHED_PREFIX, after, WATCH_TIMEOUT);
+        // The watch may be stalled, alone or with its connection. Without these checks, this VM
+        // and the VMs that it watches for would stay behind for up to eight seconds, until the
+        // watch times out.
         let gateway = Rc::clone(&self.gateway);
         let reply = tokio::select! {
-            answer = self.client.call(request, WATCH_WAIT, "watch") => answer?,
-            () = wait_until_deaf(&gateway) => return Err(CallError::Deaf),
+            reply = self.client.call(request, WATCH_TIMEOUT, "watch") => reply?,
+            () = wait_until_stalled(&gateway) => return Err(CallError::WatchStalled),
             () = gateway.woken.notified() => return Err(CallError::Suspended),
         };
         let batch = read_batch(after, reply.status, &reply.headers, &reply.body)?;
-        self.note_position(batch.position);
+        self.check_restored(batch.position);
         Ok(batch)
     }
 
-    /// Logs that the store was restored since this VM's copy was made.
-    fn note_position(&self, position: StorePosition) {
-        let held = StorePosition::from_order(self.gateway.mirror.borrow().revision());
-        if held != StorePosition::default() && position.era() > held.era() {
+    /// Logs if the store was restored from a backup since this VM's copy was made.
+    fn check_restored(&self, position: StorePosition) {
+        let current = StorePosition::from_order(self.gateway.mirror.borrow().revision());
+        if current != StorePosition::default() && position.era() > current.era() {
             self.gateway.metrics.count("onyxfall_store_restores_total");
-            log::warn!(position:% = position, held:% = held; "store was restored");
+            log::warn!(position:% = position, held:% = current; "store was restored");
         }
     }
 
-    fn note_success(&mut self) {
-        self.pause = FIRST_PAUSE;
+    fn record_success(&mut self) {
+        self.backoff = MIN_BACKOFF;
         let now = self.gateway.now();
-        if self.gateway.store.borrow_mut().gain(now) {
-            log::info!("store reached");
+        if self.gateway.store.borrow_mut().mark_reached(now) {
+            log::info!("store is reachable");
         }
     }
 
-    async fn note_failure(&mut self, error: &CallError) {
-        if self.gateway.store.borrow_mut().lose() {
-            log::warn!(error:% = error; "store lost");
+    async fn record_failure(&mut self, error: &CallError) {
+        if self.gateway.store.borrow_mut().mark_lost() {
+            log::warn!(error:% = error; "store is unreachable");
         }
-        // Every VM comes back at the same moment; the spread keeps calls apart.
-        let spread = rand::rng().random_range(0.5..1.5);
-        tokio::time::sleep(self.pause.mul_f64(spread)).await;
+        // All VMs reconnect at the same moment after an outage; jitter spreads their calls.
+        let jitter = rand::rng().random_range(0.5..1.5);
+        tokio::time::sleep(self.backoff.mul_f64(jitter)).await;
         let longest = if self.gateway.has_watch_duty() {
-            LAST_PAUSE
+            MAX_BACKOFF
         } else {
-            LAST_IDLE_PAUSE
+            MAX_IDLE_BACKOFF
         };
-        self.pause = (self.pause * 2).min(longest);
+        self.backoff = (self.backoff * 2).min(longest);
     }
 }
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/store_changes.rs
@@ -1,4 +1,4 @@
-//! What changes of the copy of the store mean for this VM.
+//! Applies changes of the local copy of the store to the state of this VM.
 
 use std::rc::Rc;
 
@@ -12,27 +12,27 @@
 use crate::report::millis;
 
 impl Gateway {
-    /// Notes that another life of a server has its address.
+    /// Records that another instance of a server has taken over its address.
     pub(crate) fn record_replaced(&self, server: &str) {
-        log::info!(server; "another server has the address");
+        log::info!(server; "server replaced at its address");
         self.fleet.borrow_mut().remove_server(self.now(), server);
     }
 
-    /// Takes changes of the copy of the store.
+    /// Applies changes of the local copy of the store.
     pub(crate) fn apply_changes(&self, changes: Vec<MirrorChange>) {
         for change in changes {
             match change {
                 MirrorChange::Set(key, value) => match read_item(&key, &value) {
-                    Ok(news) => self.apply_entry(&key, news),
+                    Ok(entry) => self.apply_entry(&key, entry),
                     Err(e) => self.reject_item(&key, &e),
                 },
-                MirrorChange::Removed(key) => self.take_removal(&key),
+                MirrorChange::Removed(key) => self.apply_removal(&key),
             }
         }
     }
 
-    /// An item that is not understood. A server's entry then names no server, also where
-    /// a good one stood before: who wrote it is not known.
+    /// Handles an entry that cannot be decoded. An undecodable server entry removes the server,
+    /// even if a valid entry was there before, since the writer of the new one is unknown.
     fn reject_item(&self, key: &str, error: &DecodeError) {
         self.metrics.count("onyxfall_items_not_understood_total");
         log::error!(key, error:% = error; "item not understood");
@@ -41,25 +41,25 @@
                 let mut fleet = self.fleet.borrow_mut();
                 fleet.remove_server(self.now(), name.as_str());
             }
-            // What stood there before is no longer asked for.
+            // The order that stood under this key before no longer applies.
             StoreKey::Order(service) => self.withdraw_order(&service),
             _ => {}
         }
     }
 
-    /// Revision at which an item stands in the copy of the store.
+    /// Revision of an entry in the local copy of the store.
     fn item_revision(&self, key: &str) -> u64 {
         self.mirror.borrow().item_revision(key).unwrap_or_default()
     }
 
-    fn take_order(&self, key: &str, order: RolloutOrder) {
+    fn apply_order(&self, key: &str, order: RolloutOrder) {
         let revision = self.item_revision(key);
         log::info!(
             service = order.service.as_str(),
             version = order.target.as_str(),
             time_ms = millis(order.time),
             revision;
-            "another version is ordered"
+            "rollout order received"
         );
         let is_known = self
             .table()
@@ -75,15 +75,15 @@
         self.refresh_rollouts(self.now());
     }
 
-    /// An order is no longer asked for: its version is closed at once.
+    /// Withdraws the order of a service, which closes its target version at once.
     fn withdraw_order(&self, service: &ServiceName) {
         self.rollouts.borrow_mut().withdraw(service);
         self.refresh_rollouts(self.now());
     }
 
-    /// Takes a server's entry. Those of servers that this VM does not work with are only
-    /// counted: thousands of lines at once would push others out of the log.
-    fn take_server(&self, now: Moment, record: ServerRecord, table: Option<&RouteTable>) {
+    /// Applies a server's entry. Entries of servers that this VM does not use are counted but
+    /// not logged: thousands of lines at once would displace others from the log.
+    fn apply_server(&self, now: Moment, record: ServerRecord, table: Option<&RouteTable>) {
         let mut fleet = self.fleet.borrow_mut();
         let name = record.name.clone();
         let before = fleet.find(name.as_str());
@@ -103,15 +103,15 @@
             service = record.service.as_str(),
             phase:? = record.phase,
             cold_ms = millis(record.cold_left);
-            "server seen"
+            "server entry applied"
         );
     }
 
-    fn apply_entry(&self, key: &str, news: StoreEntry) {
+    fn apply_entry(&self, key: &str, entry: StoreEntry) {
         let now = self.now();
         let table = self.table();
-        match news {
-            StoreEntry::Order(order) => self.take_order(key, order),
+        match entry {
+            StoreEntry::Order(order) => self.apply_order(key, order),
             StoreEntry::Rollout(service, record) => {
                 let revision = self.item_revision(key);
                 let mut rollouts = self.rollouts.borrow_mut();
@@ -123,20 +123,20 @@
                 let mut rollouts = self.rollouts.borrow_mut();
                 rollouts.take_shift(now, &service, region, order, revision);
             }
-            StoreEntry::Config(next) => self.take_table(*next),
-            StoreEntry::Server(record) => self.take_server(now, record, table.as_deref()),
+            StoreEntry::Config(next) => self.apply_table(*next),
+            StoreEntry::Server(record) => self.apply_server(now, record, table.as_deref()),
             StoreEntry::Evacuation(center) => {
-                log::info!(center = center.as_str(); "data centre is evacuated");
+                log::info!(center = center.as_str(); "evacuation of a data centre started");
                 self.fleet.borrow_mut().evacuate(center);
             }
             StoreEntry::Other => {}
         }
     }
 
-    /// Brings a configuration into force unless a newer one is.
-    fn take_table(&self, next: RouteTable) {
-        let held = self.table().map(|table| table.version());
-        if held.is_some_and(|held| held >= next.version()) {
+    /// Brings a configuration into force unless the current one is as new or newer.
+    fn apply_table(&self, next: RouteTable) {
+        let current = self.table().map(|table| table.version());
+        if current.is_some_and(|current| current >= next.version()) {
             log::warn!(version:% = next.version(); "older configuration ignored");
             return;
         }
@@ -153,30 +153,30 @@
         self.refresh_rollout_routes();
     }
 
-    fn take_removal(&self, key: &str) {
+    fn apply_removal(&self, key: &str) {
         match read_key(key) {
             StoreKey::Server(name) => {
                 let mut fleet = self.fleet.borrow_mut();
                 if fleet.find(name.as_str()).is_some() {
-                    log::info!(server = name.as_str(); "server gone");
+                    log::info!(server = name.as_str(); "server entry removed");
                 }
                 fleet.remove_server(self.now(), name.as_str());
             }
             StoreKey::Evacuation(center) => {
-                log::info!(center = center.as_str(); "data centre is taken back");
+                log::info!(center = center.as_str(); "evacuation of a data centre ended");
                 let (now, table) = (self.now(), self.table());
                 let mut fleet = self.fleet.borrow_mut();
                 fleet.end_evacuation(now, &center, table.as_deref());
             }
             // A configuration is never withdrawn; the last one stays in force.
             StoreKey::Config | StoreKey::Other => {}
-            // Nobody deletes these: the store was restored from an older copy.
+            // No writer deletes these keys, so the store was restored from an older backup.
             StoreKey::Rollout(service) => self.rollouts.borrow_mut().remove_record(&service),
             StoreKey::Shift(service, region) => {
                 self.rollouts.borrow_mut().remove_shift(&service, &region);
             }
             StoreKey::Order(service) => {
-                log::info!(service = service.as_str(); "order of another version is taken back");
+                log::info!(service = service.as_str(); "rollout order withdrawn");
                 self.withdraw_order(&service);
             }
         }
--- a/crates/gateway/src/store_client.rs
+++ b/crates/gateway/src/store_client.rs
@@ -1,4 +1,4 @@
-//! Calls of the platform's store, one after the other on a kept connection.
+//! Client for the platform's store: one call at a time over a persistent connection.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,48 +12,47 @@
 use crate::connection::{HttpConnection, SendError};
 use crate::gateway::Gateway;
 
-/// Longest time for an answer beyond the wait.
-const ANSWER_LIMIT: Duration = Duration::from_millis(1500);
-/// Longest time for a connection to the store to come up; it may be in another
-/// region, and slow.
-const DIAL_LIMIT: Duration = Duration::from_millis(700);
-/// Largest answer: a page holds at most about a megabyte, in base64.
-const ANSWER_BYTES: usize = 4 * 1024 * 1024;
+/// Timeout for a response, in addition to the time that the store may hold the call.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Timeout for connecting to the store, which may be in another region and slow.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
+/// Largest response: a page holds at most about a megabyte, encoded in base64.
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why a call failed.
 #[derive(Debug, Error)]
 pub(crate) enum CallError {
     #[error("{0}")]
     Store(#[from] StoreError),
-    #[error("not to be encoded: {0}")]
+    #[error("cannot encode the request: {0}")]
     Encoding(#[from] DecodeError),
-    #[error("no connection: {0}")]
+    #[error("cannot connect: {0}")]
     Unreachable(#[from] std::io::Error),
-    #[error("the connection broke")]
+    #[error("connection lost")]
     Broken,
-    #[error("no answer")]
+    #[error("no response in time")]
     TimedOut,
     #[error("this VM was suspended")]
     Suspended,
-    #[error("other VMs know of changes that the watch did not bring")]
-    Deaf,
+    #[error("watch stalled: other VMs have later changes")]
+    WatchStalled,
 }
 
-/// An answer of the store.
+/// A response of the store.
 pub(crate) struct StoreReply {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-/// A connection to the store, opened when it is needed.
+/// Client of the store that connects when needed.
 pub(crate) struct StoreClient {
     gateway: Rc<Gateway>,
     connection: Option<HttpConnection>,
 }
 
 impl StoreClient {
-    /// A client without a connection.
+    /// Creates a client that is not connected yet.
     pub(crate) fn new(gateway: &Rc<Gateway>) -> Self {
         Self {
             gateway: Rc::clone(gateway),
@@ -61,12 +60,12 @@
         }
     }
 
-    /// The store's address, as requests name it.
+    /// The store's address, for the `Host` header of requests.
     pub(crate) fn host(&self) -> String {
         self.gateway.settings().store.to_string()
     }
 
-    /// Sends a call that the store may hold for `wait`; `cause` counts it in the metrics.
+    /// Sends a call that the store may hold for `wait`. `cause` labels it in the metrics.
     pub(crate) async fn call(
         &mut self,
         request: Request<Bytes>,
@@ -75,14 +74,14 @@
     ) -> Result<StoreReply, CallError> {
         let address = self.gateway.settings().store;
         self.gateway.metrics.count_store_call(cause);
-        // A connection that has lost an answer brings no other one.
-        let kept = self.connection.take();
-        let called = tokio::time::timeout(wait + ANSWER_LIMIT, async {
-            let ready = kept.filter(HttpConnection::is_ready);
+        // A connection is not reused after a call on it has failed or timed out.
+        let idle = self.connection.take();
+        let called = tokio::time::timeout(wait + RESPONSE_TIMEOUT, async {
+            let ready = idle.filter(HttpConnection::is_ready);
             let mut connection = if let Some(connection) = ready {
                 connection
             } else {
-                let plan = self.gateway.dial_plan(DIAL_LIMIT);
+                let plan = self.gateway.dial_plan(CONNECT_TIMEOUT);
                 HttpConnection::open(address, plan).await?
             };
             let sent = connection.send(request.map(Full::new)).await;
@@ -90,7 +89,7 @@
                 SendError::Unsent | SendError::Broken(_) => CallError::Broken,
             })?;
             let (head, body) = response.into_parts();
-            let body = Limited::new(body, ANSWER_BYTES).collect().await;
+            let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
             let body = body.map_err(|_| CallError::Broken)?.to_bytes();
             let reply = StoreReply {
                 status: head.status,
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,9 +1,10 @@
-//! A stream of events passed on as it comes.
+//! Forwards a stream of events as it arrives.
 //!
-//! Where the route allows it, another server goes on with a stream that broke
-//! off: then only whole events are passed on, and the id of the last one names
-//! the point to go on from. Otherwise bytes are passed on as they are, and a
-//! break breaks the caller's answer too, so that it never looks complete.
+//! Where the route allows it, or a backup copy of the run exists, another server resumes a
+//! stream after a lost connection. Such a stream is forwarded in whole events, and the id of
+//! the last event names the point to resume from. Any other stream is forwarded byte by
+//! byte, and a lost connection aborts the response to the caller, so that it never looks
+//! complete.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -23,27 +24,27 @@
 use crate::suspension::wait_for_deadline;
 use crate::unresponsive::wait_until_unresponsive;
 
-/// End of an event in a stream.
+/// Marks the end of an event.
 const EVENT_END: &[u8] = b"\n\n";
-/// Line of an event that holds its id.
+/// Prefix of the line that holds the id of an event.
 const ID_FIELD: &[u8] = b"id:";
 
-/// Cuts a stream into whole events.
+/// Splits a stream into whole events.
 #[derive(Debug, Default)]
-struct EventBuffer {
-    rest: BytesMut,
+struct EventSplitter {
+    incomplete: BytesMut,
     last_id: Option<String>,
 }
 
-impl EventBuffer {
-    /// Adds bytes; returns the whole events that they complete.
+impl EventSplitter {
+    /// Adds bytes and returns the whole events that they complete.
     fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
-        self.rest.extend_from_slice(bytes);
+        self.incomplete.extend_from_slice(bytes);
         let end = self
-            .rest
+            .incomplete
             .windows(EVENT_END.len())
             .rposition(|window| window == EVENT_END)?;
-        let whole = self.rest.split_to(end + EVENT_END.len()).freeze();
+        let whole = self.incomplete.split_to(end + EVENT_END.len()).freeze();
         if let Some(id) = last_event_id(&whole) {
             self.last_id = Some(id);
         }
@@ -60,15 +61,15 @@
     Some(id.trim().to_owned())
 }
 
-/// Counts the events of a stream by the empty lines that end them, whatever the
-/// pieces in which it comes.
+/// Counts the events of a stream by the empty lines that end them, however the stream is
+/// split into frames.
 #[derive(Debug, Default)]
 struct EventCounter {
     ends_in_newline: bool,
 }
 
 impl EventCounter {
-    /// Number of events that end in `bytes`.
+    /// Returns the number of events that end in `bytes`.
     fn count(&mut self, bytes: &[u8]) -> u32 {
         let mut events = 0;
         for byte in bytes {
@@ -84,57 +85,61 @@
     }
 }
 
-/// What is going on with a stream.
+/// State of a relayed stream.
 enum RelayState {
-    /// A server sends it.
+    /// A server is sending the stream.
     Open(Box<UpstreamResponse>),
-    /// Another server is being asked to go on.
+    /// Another server is being asked to resume the stream.
     Resuming(LocalBoxFuture<'static, Option<ResumedStream>>),
-    /// It is over.
+    /// The stream has ended.
     Ended,
 }
 
-/// A stream on its way to a caller or another VM.
+/// Forwards a stream to a caller or another VM.
 pub(crate) struct StreamRelay {
     gateway: Rc<Gateway>,
     call: SharedCall,
     progress: CallProgress,
     state: RelayState,
-    buffer: Option<EventBuffer>,
+    buffer: Option<EventSplitter>,
     counter: EventCounter,
-    /// Events passed on, of all servers.
+    /// Number of events forwarded, over all servers.
     events: u32,
     deadline: LocalBoxFuture<'static, ()>,
-    /// Ends when the server that sends it is taken for silent, if another one can go on.
-    silence: Option<LocalBoxFuture<'static, ()>>,
+    /// Completes when the sending server becomes unresponsive; `None` if no other server
+    /// could resume the stream.
+    unresponsive: Option<LocalBoxFuture<'static, ()>>,
 }
 
 impl StreamRelay {
-    /// Passes on the body of `answer`.
+    /// Starts forwarding the body of `response`.
     pub(crate) fn new(
         gateway: &Rc<Gateway>,
         call: &SharedCall,
         progress: CallProgress,
-        answer: Box<UpstreamResponse>,
+        response: Box<UpstreamResponse>,
     ) -> Self {
         gateway.open_streams.set(gateway.open_streams.get() + 1);
-        let resumable = call.rules.answer == ResponseRule::Resumable && answer.status.is_success();
-        let is_copied = answer.copy.is_some();
-        let can_go_on = resumable || is_copied;
+        let resumable =
+            call.rules.response == ResponseRule::Resumable && response.status.is_success();
+        let has_backup = response.backup.is_some();
+        let can_resume = resumable || has_backup;
         Self {
-            silence: can_go_on.then(|| silence_of(gateway, &answer)).flatten(),
+            unresponsive: can_resume
+                .then(|| watch_server(gateway, &response))
+                .flatten(),
             gateway: Rc::clone(gateway),
             call: Rc::clone(call),
             progress,
-            state: RelayState::Open(answer),
-            buffer: can_go_on.then(EventBuffer::default),
+            state: RelayState::Open(response),
+            buffer: can_resume.then(EventSplitter::default),
             counter: EventCounter::default(),
             events: 0,
             deadline: Box::pin(wait_for_deadline(Rc::clone(gateway), Rc::clone(call))),
         }
     }
 
-    /// The next bytes.
+    /// Polls for the next frame to forward.
     pub(crate) fn poll_next(
         &mut self,
         cx: &mut Context<'_>,
@@ -146,16 +151,16 @@
         loop {
             let polled = match &mut self.state {
                 RelayState::Ended => return Poll::Ready(None),
-                RelayState::Resuming(going_on) => match going_on.as_mut().poll(cx) {
+                RelayState::Resuming(resuming) => match resuming.as_mut().poll(cx) {
                     Poll::Pending => return Poll::Pending,
-                    Poll::Ready(Some(ResumedStream { answer, progress })) => {
+                    Poll::Ready(Some(ResumedStream { response, progress })) => {
                         self.progress = progress;
-                        // A run that goes on from its copy has no other one.
-                        self.silence = match self.call.rules.answer {
-                            ResponseRule::Resumable => silence_of(&self.gateway, &answer),
+                        // A run continued from its backup has no further backup.
+                        self.unresponsive = match self.call.rules.response {
+                            ResponseRule::Resumable => watch_server(&self.gateway, &response),
                             _ => None,
                         };
-                        self.state = RelayState::Open(answer);
+                        self.state = RelayState::Open(response);
                         continue;
                     }
                     Poll::Ready(None) => {
@@ -163,10 +168,10 @@
                         return Poll::Ready(Some(Err(RelayError::Broken)));
                     }
                 },
-                RelayState::Open(answer) => Pin::new(&mut answer.body).poll_frame(cx),
+                RelayState::Open(response) => Pin::new(&mut response.body).poll_frame(cx),
             };
             match polled {
-                Poll::Pending if self.is_silent(cx) => {
+                Poll::Pending if self.is_unresponsive(cx) => {
                     if !self.try_resume() {
                         self.end(AttemptResult::Broken, "broken off");
                         return Poll::Ready(Some(Err(RelayError::Broken)));
@@ -174,7 +179,7 @@
                 }
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Some(Ok(frame))) => {
-                    if let Some(frame) = self.pass(frame) {
+                    if let Some(frame) = self.forward_frame(frame) {
                         return Poll::Ready(Some(Ok(frame)));
                     }
                 }
@@ -189,30 +194,30 @@
         }
     }
 
-    /// Whether the server is taken for silent; asked while nothing comes.
-    fn is_silent(&mut self, cx: &mut Context<'_>) -> bool {
-        let has_last = self.buffer.as_ref().is_some_and(|b| b.last_id.is_some());
-        if self.call.rules.answer == ResponseRule::LostWithServer && !has_last {
+    /// Whether the server has become unresponsive; polled while no data arrives.
+    fn is_unresponsive(&mut self, cx: &mut Context<'_>) -> bool {
+        let has_last_id = self.buffer.as_ref().is_some_and(|b| b.last_id.is_some());
+        if self.call.rules.response == ResponseRule::LostWithServer && !has_last_id {
             return false;
         }
-        let Some(silence) = &mut self.silence else {
+        let Some(unresponsive) = &mut self.unresponsive else {
             return false;
         };
-        if silence.as_mut().poll(cx).is_pending() {
+        if unresponsive.as_mut().poll(cx).is_pending() {
             return false;
         }
-        self.silence = None;
+        self.unresponsive = None;
         true
     }
 
-    fn pass(&mut self, frame: Frame<Bytes>) -> Option<Frame<Bytes>> {
+    fn forward_frame(&mut self, frame: Frame<Bytes>) -> Option<Frame<Bytes>> {
         let data = frame.into_data().ok()?;
         let events = self.counter.count(&data);
         self.events += events;
-        if let RelayState::Open(answer) = &mut self.state {
-            answer.events += events;
-            if let Some(booking) = &answer.booking {
-                booking.record_liveness();
+        if let RelayState::Open(response) = &mut self.state {
+            response.events += events;
+            if let Some(attempt) = &response.attempt {
+                attempt.record_liveness();
             }
         }
         match &mut self.buffer {
@@ -221,40 +226,44 @@
         }
     }
 
-    /// The server ended the stream; what is left of an event is passed on.
+    /// Ends the stream after its last byte and forwards the rest of an incomplete event.
     fn complete(&mut self) -> Option<Result<Frame<Bytes>, RelayError>> {
         let call = &self.call;
         self.gateway
             .record_response_length(&call.route, &call.needs.prompt, self.events);
         self.end(AttemptResult::Succeeded, "served");
-        let rest = self.buffer.take().map(|buffer| buffer.rest.freeze())?;
-        (!rest.is_empty()).then(|| Ok(Frame::data(rest)))
+        let remainder = self
+            .buffer
+            .take()
+            .map(|buffer| buffer.incomplete.freeze())?;
+        (!remainder.is_empty()).then(|| Ok(Frame::data(remainder)))
     }
 
     fn try_resume(&mut self) -> bool {
         let Some(buffer) = &mut self.buffer else {
             return false;
         };
-        buffer.rest.clear();
+        buffer.incomplete.clear();
         self.counter = EventCounter::default();
         let last = buffer.last_id.clone();
-        let RelayState::Open(answer) = std::mem::replace(&mut self.state, RelayState::Ended) else {
+        let RelayState::Open(response) = std::mem::replace(&mut self.state, RelayState::Ended)
+        else {
             return false;
         };
-        let mut answer = answer;
-        let copy = answer.copy.take();
-        answer.finish(&self.gateway, AttemptResult::Broken);
+        let mut response = response;
+        let backup = response.backup.take();
+        response.finish(&self.gateway, AttemptResult::Broken);
         let gateway = Rc::clone(&self.gateway);
         let call = Rc::clone(&self.call);
-        if self.call.rules.answer == ResponseRule::LostWithServer {
-            let (Some(copy), Some(last)) = (copy, last) else {
+        if self.call.rules.response == ResponseRule::LostWithServer {
+            let (Some(backup), Some(last)) = (backup, last) else {
                 return false;
             };
             self.progress.resumes += 1;
             let progress = self.progress.clone();
             self.state = RelayState::Resuming(Box::pin(async move {
-                let answer = continue_run(&gateway, &call, copy, &last).await?;
-                Some(ResumedStream { answer, progress })
+                let response = continue_run(&gateway, &call, backup, &last).await?;
+                Some(ResumedStream { response, progress })
             }));
             return true;
         }
@@ -269,11 +278,11 @@
 
     fn end(&mut self, result: AttemptResult, outcome: &'static str) {
         let state = std::mem::replace(&mut self.state, RelayState::Ended);
-        if let RelayState::Open(answer) = state {
-            answer.finish(&self.gateway, result);
+        if let RelayState::Open(response) = state {
+            response.finish(&self.gateway, result);
         }
-        if !self.progress.is_told {
-            self.progress.is_told = true;
+        if !self.progress.is_end_logged {
+            self.progress.is_end_logged = true;
             self.progress.events = self.events;
             self.gateway
                 .log_request_end(&self.call, &self.progress, outcome);
@@ -281,13 +290,13 @@
     }
 }
 
-/// Ends when the server of an answer is taken for silent; none if another VM's answer
-/// is passed on.
-fn silence_of(
+/// Completes when the server of `response` becomes unresponsive. `None` if the response comes
+/// from another VM.
+fn watch_server(
     gateway: &Rc<Gateway>,
-    answer: &UpstreamResponse,
+    response: &UpstreamResponse,
 ) -> Option<LocalBoxFuture<'static, ()>> {
-    let server = answer.booking.as_ref()?.server();
+    let server = response.attempt.as_ref()?.server();
     Some(Box::pin(wait_until_unresponsive(
         Rc::clone(gateway),
         server,
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -1,8 +1,9 @@
-//! Requests that crash servers: what this VM notes of them, and where they may go.
+//! Requests that crash servers: what this VM records of them, and where they may run.
 //!
-//! 28 servers crashed under one caption whose caller sent it again and again, each with
-//! up to 128 runs of other callers. What a crash teaches is therefore kept beyond the
-//! request and told to every VM (`onyxfall_suspects`); this module applies it.
+//! A single caller that retries such a request can crash many servers: 28 crashed in one
+//! incident, each with up to 128 runs of other callers. Crash evidence therefore outlives
+//! the request and is sent to every VM. `onyxfall_suspects` evaluates the evidence, and
+//! this module applies its verdicts.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -26,41 +27,39 @@
 use crate::relay::{PeerReason, PeerTarget};
 use crate::serve::CallProgress;
 
-/// Time after which a caller may come back where the same request is running: a server
-/// crashed 40 to 180 ms after it had begun to run such a request, and a stream that is
-/// whole takes some tenths of a second.
+/// Retry delay while the same request is running. A server crashed 40 to 180 ms after it
+/// had started such a request, and a stream that completes takes some tenths of a second.
 const RUNNING_RETRY: Duration = Duration::from_millis(300);
-/// The same where the VM that holds the request cannot be reached: it is replaced after
-/// its silence is noticed, 1.3 s.
+/// Retry delay while the VM that holds the request cannot be reached. Another holder takes
+/// over once the VM counts as unresponsive, after 1.3 s.
 const HOLDER_RETRY: Duration = Duration::from_millis(900);
 
-/// The board of a gateway, which its tasks share.
-pub(crate) type SharedBoard = RefCell<SuspectBoard>;
+/// Suspect state shared by the tasks of a gateway.
+pub(crate) type SharedSuspects = RefCell<SuspectState>;
 
-/// What this VM knows of requests that crash servers.
+/// Evidence and running requests of this VM.
 #[derive(Debug, Default)]
-pub(crate) struct SuspectBoard {
+pub(crate) struct SuspectState {
     table: SuspectTable,
-    /// Runs under way of requests that are known to the table.
+    /// Number of runs in progress for each request that is in the table.
     running: HashMap<RequestFingerprint, u32>,
 }
 
-/// A run of a request that is known to have been on a server that broke off; it counts
-/// as under way while this lives.
+/// A run of a request with crash evidence. It counts as running until dropped.
 pub(crate) struct SuspectRun {
     gateway: Rc<Gateway>,
     fingerprint: RequestFingerprint,
 }
 
 impl SuspectRun {
-    /// Counts a run that begins; none if nothing is known of its request.
+    /// Counts a run that starts. Returns `None` if there is no evidence against its request.
     pub(crate) fn start(gateway: &Rc<Gateway>, call: &CallContext) -> Option<Self> {
-        let mut board = gateway.suspects.borrow_mut();
-        if board.table.is_empty() || !board.table.knows(call.fingerprint()) {
+        let mut state = gateway.suspects.borrow_mut();
+        if state.table.is_empty() || !state.table.knows(call.fingerprint()) {
             return None;
         }
-        *board.running.entry(call.fingerprint()).or_default() += 1;
-        drop(board);
+        *state.running.entry(call.fingerprint()).or_default() += 1;
+        drop(state);
         Some(Self {
             gateway: Rc::clone(gateway),
             fingerprint: call.fingerprint(),
@@ -70,25 +69,26 @@
 
 impl Drop for SuspectRun {
     fn drop(&mut self) {
-        let mut board = self.gateway.suspects.borrow_mut();
-        if let Some(count) = board.running.get_mut(&self.fingerprint) {
+        let mut state = self.gateway.suspects.borrow_mut();
+        if let Some(count) = state.running.get_mut(&self.fingerprint) {
             *count -= 1;
             if *count == 0 {
-                board.running.remove(&self.fingerprint);
+                state.running.remove(&self.fingerprint);
             }
         }
     }
 }
 
 impl Gateway {
-    /// Notes that a server broke off under a request, and tells other VMs at once.
-    pub(crate) fn note_lost_run(&self, now: Moment, call: &CallContext, server: ServerId) {
-        let life = self.life_of(server);
+    /// Records that a server was lost while it ran a request, and sends the evidence at
+    /// once.
+    pub(crate) fn record_lost_run(&self, now: Moment, call: &CallContext, server: ServerId) {
+        let instance = self.instance_of(server);
         let fingerprint = call.fingerprint();
         let verdict = {
-            let mut board = self.suspects.borrow_mut();
-            board.table.record_crash(now, fingerprint, life);
-            board.table.judge(now, fingerprint)
+            let mut state = self.suspects.borrow_mut();
+            state.table.record_crash(now, fingerprint, instance);
+            state.table.judge(now, fingerprint)
         };
         self.metrics.count("onyxfall_lost_runs_total");
         if verdict != SuspectVerdict::Clear {
@@ -96,54 +96,54 @@
                 request = call.request_id.as_str(),
                 fingerprint:% = fingerprint,
                 verdict = verdict.as_str();
-                "request judged by the servers that it was lost with"
+                "request suspected of crashing servers"
             );
         }
         self.send_updates_now.notify_waiters();
     }
 
-    /// Notes that a request ran to a good end.
-    pub(crate) fn note_good_run(&self, call: &CallContext) {
-        let mut board = self.suspects.borrow_mut();
-        if !board.table.is_empty() {
-            board.table.record_success(call.fingerprint());
+    /// Records that a request completed without a crash.
+    pub(crate) fn record_completed_run(&self, call: &CallContext) {
+        let mut state = self.suspects.borrow_mut();
+        if !state.table.is_empty() {
+            state.table.record_success(call.fingerprint());
         }
     }
 
-    /// Lets time count, and servers that live on clear what was lost with them.
+    /// Expires evidence, and clears evidence of lost servers that have shown to be alive.
     pub(crate) fn refresh_suspects(&self, now: Moment) {
-        let mut board = self.suspects.borrow_mut();
-        if board.table.is_empty() {
+        let mut state = self.suspects.borrow_mut();
+        if state.table.is_empty() {
             return;
         }
-        let lost: Vec<InstanceTag> = board.table.lost_instances().collect();
+        let lost_instances: Vec<InstanceTag> = state.table.lost_instances().collect();
         let fleet = self.fleet.borrow();
-        for life in lost {
-            let server = fleet.find_instance(life.number());
-            let sign = server.and_then(|id| fleet.server(id).last_liveness());
-            if let Some(sign) = sign {
-                board.table.record_liveness(life, sign);
+        for instance in lost_instances {
+            let server = fleet.find_instance(instance.number());
+            let last_liveness = server.and_then(|id| fleet.server(id).last_liveness());
+            if let Some(last_liveness) = last_liveness {
+                state.table.record_liveness(instance, last_liveness);
             }
         }
-        board.table.expire(now);
+        state.table.expire(now);
     }
 
-    fn life_of(&self, server: ServerId) -> InstanceTag {
+    fn instance_of(&self, server: ServerId) -> InstanceTag {
         let fleet = self.fleet.borrow();
         InstanceTag::from_number(fleet.server(server).instance_hash())
     }
 
-    /// What may be done with a request.
+    /// Returns the verdict on a request.
     pub(crate) fn judge(&self, call: &CallContext) -> SuspectVerdict {
-        let board = self.suspects.borrow();
-        if board.table.is_empty() || !self.is_on(DecisionSwitch::CrashSuspects) {
+        let state = self.suspects.borrow();
+        if state.table.is_empty() || !self.is_on(DecisionSwitch::CrashSuspects) {
             return SuspectVerdict::Clear;
         }
-        board.table.judge(self.now(), call.fingerprint())
+        state.table.judge(self.now(), call.fingerprint())
     }
 
-    /// Where a request goes that was on servers that broke off; none if it is decided
-    /// on as any other.
+    /// Decides the next step of a request with crash evidence. `None` if the request is routed
+    /// as any other.
     pub(crate) fn decide_suspect(
         &self,
         call: &CallContext,
@@ -152,29 +152,29 @@
         let verdict = self.judge(call);
         match verdict {
             SuspectVerdict::Clear => None,
-            SuspectVerdict::Quarantined { left } => Some(RouteStep::Refuse(quarantined(left))),
+            SuspectVerdict::Quarantined { left } => Some(RouteStep::Refuse(quarantine_error(left))),
             SuspectVerdict::Pending { left } => {
-                Some(refuse("servers have crashed around it", left))
+                Some(reject("servers crashed while running this request", left))
             }
-            SuspectVerdict::Suspected => Some(self.decide_alone(call, progress)),
+            SuspectVerdict::Suspected => Some(self.decide_isolated(call, progress)),
         }
     }
 
     fn is_running(&self, call: &CallContext) -> bool {
-        let board = self.suspects.borrow();
-        board.running.contains_key(&call.fingerprint())
+        let state = self.suspects.borrow();
+        state.running.contains_key(&call.fingerprint())
     }
 
-    /// Lets one VM of the system run a request, once at a time, where the least is lost
-    /// with it.
-    fn decide_alone(&self, call: &CallContext, progress: &CallProgress) -> RouteStep {
+    /// Runs a suspected request at a single VM of the system, one run at a time, on the server
+    /// where the least would be lost with it.
+    fn decide_isolated(&self, call: &CallContext, progress: &CallProgress) -> RouteStep {
         if call.origin == CallOrigin::Caller
             && let Some(holder) = self.suspect_holder(call)
             && holder.name != *self.vm()
         {
             if !progress.vms.is_empty() {
-                return refuse(
-                    "the VM that holds this request cannot be reached",
+                return reject(
+                    "the VM that may run this request cannot be reached",
                     HOLDER_RETRY,
                 );
             }
@@ -194,13 +194,13 @@
         let option = fleet.choose_alone(now, &call.needs, &progress.servers);
         match option {
             LocalOption::Free(choice) => RouteStep::Server(server_target(&fleet, &choice)),
-            LocalOption::BackedOff(end) => self.wait_for_rest(call, end - now),
+            LocalOption::BackedOff(end) => self.wait_for_backoff(call, end - now),
             _ => self.wait_or_refuse(call, "no server is usable", call.needs.goal / 2),
         }
     }
 
-    /// The VM that may run a suspected request: of those that live, in a region that may
-    /// serve it and has servers.
+    /// Returns the VM that may run a suspected request: one of the live VMs in a region that may
+    /// serve the request and has servers for it.
     fn suspect_holder(&self, call: &CallContext) -> Option<VmRecord> {
         let overlay = self.overlay.borrow();
         let roster = overlay.roster();
@@ -208,7 +208,9 @@
         let serves = |region: &RegionName| {
             call.needs.allows_region(region) && fleet.has_servers_in(&call.needs.service, region)
         };
-        let others = roster.others().filter(|vm| vm.is_alive() && is_open(vm));
+        let others = roster
+            .others()
+            .filter(|vm| vm.is_alive() && is_accepting(vm));
         let vms = others.map(|vm| &vm.record).chain([roster.own()]);
         let serving: Vec<&VmRecord> = vms.filter(|vm| serves(&vm.region)).collect();
         let holder = holder_of(call.fingerprint(), serving.iter().map(|vm| &vm.name))?;
@@ -216,39 +218,39 @@
         Some((*record).clone())
     }
 
-    /// What is news of suspects on a link.
-    pub(crate) fn collect_suspects(&self, told: &mut SuspectCursor, update: &mut VmUpdate) {
-        let news = self.suspects.borrow().table.tell(self.now(), told);
-        if !news.is_empty() {
-            wire_suspects(&news, update);
+    /// Adds suspect changes since the last update on a link to `update`.
+    pub(crate) fn collect_suspects(&self, cursor: &mut SuspectCursor, update: &mut VmUpdate) {
+        let changes = self.suspects.borrow().table.tell(self.now(), cursor);
+        if !changes.is_empty() {
+            wire_suspects(&changes, update);
         }
     }
 
-    /// Takes what another VM tells of suspects.
+    /// Applies the suspect changes in another VM's update.
     pub(crate) fn apply_suspects(&self, now: Moment, update: &VmUpdate) {
         if update.suspects.is_empty() && update.lost_lives.is_empty() {
             return;
         }
-        let (news, malformed) = read_suspects(update);
+        let (changes, malformed) = read_suspects(update);
         self.metrics
             .count_more("onyxfall_absurd_suspects_total", malformed);
-        let is_urgent = self.suspects.borrow_mut().table.take(now, &news);
+        let is_urgent = self.suspects.borrow_mut().table.take(now, &changes);
         if is_urgent {
             self.send_updates_now.notify_waiters();
         }
     }
 }
 
-fn is_open(vm: &KnownVm) -> bool {
+fn is_accepting(vm: &KnownVm) -> bool {
     vm.record.status.is_ready && !vm.record.status.is_leaving
 }
 
-fn refuse(detail: &str, after: Duration) -> RouteStep {
+fn reject(detail: &str, after: Duration) -> RouteStep {
     let error = RequestError::not_run(RefusalReason::Overloaded, detail);
     RouteStep::Refuse(error.with_retry_after(after))
 }
 
-fn quarantined(left: Duration) -> RequestError {
-    let detail = "servers crash under this request";
+fn quarantine_error(left: Duration) -> RequestError {
+    let detail = "this request crashes servers";
     RequestError::not_run(RefusalReason::Quarantined, detail).with_retry_after(left)
 }
--- a/crates/gateway/src/suspension.rs
+++ b/crates/gateway/src/suspension.rs
@@ -1,8 +1,8 @@
-//! A VM that was suspended, and what it does about it before it goes on.
+//! Detection of a suspension of this VM, and recovery from it.
 //!
-//! Ages count a suspension by themselves, since they are read from a clock that does. What
-//! remains is what timers and other processes know of: deadlines that have passed,
-//! connections that the other side has closed, changes of the store that were missed.
+//! Ages include a suspension, since they are read from a clock that advances during it. What
+//! remains is what timers and other processes keep track of: deadlines that have passed,
+//! connections that the other side has closed, and store changes that were missed.
 
 use std::future::Future;
 use std::pin::pin;
@@ -15,25 +15,25 @@
 use crate::report::millis;
 
 impl Gateway {
-    /// Looks whether this VM was suspended; before each request, and by time. It takes one
-    /// reading of the steady clock, 0.05 us, beside that of `now`.
+    /// Checks whether this VM was suspended; called before each request and periodically. The
+    /// check costs one more reading of the steady clock than `now`, 0.05 us.
     pub(crate) fn check_suspension(&self, now: BootInstant) {
         let mut watch = self.suspension.get();
-        let away = watch.look(now);
+        let suspended_for = watch.look(now);
         self.suspension.set(watch);
-        let Some(away) = away else {
+        let Some(suspended_for) = suspended_for else {
             return;
         };
         self.metrics.count("onyxfall_suspensions_total");
-        log::warn!(away_ms = millis(away); "was suspended");
-        // Other sides have closed them, some without a trace.
+        log::warn!(away_ms = millis(suspended_for); "was suspended");
+        // The other sides have closed these connections, some without this VM noticing.
         self.pool.clear();
-        self.store.borrow_mut().note_missed(self.now());
+        self.store.borrow_mut().record_missed_changes(self.now());
         self.woken.notify_waiters();
     }
 }
 
-/// Waits for `future` until the caller's time is over, a suspension counted.
+/// Waits for `future` until the caller's deadline, which passes during a suspension too.
 pub(crate) async fn within_deadline<T>(
     gateway: &Gateway,
     call: &CallContext,
@@ -41,7 +41,7 @@
 ) -> Option<T> {
     let mut future = pin!(future);
     loop {
-        // Timers stand still during a suspension.
+        // Timers do not advance during a suspension.
         let woken = gateway.woken.notified();
         tokio::select! {
             done = future.as_mut() => return Some(done),
@@ -51,7 +51,7 @@
     }
 }
 
-/// Ends when the caller's time is over, a suspension counted.
+/// Waits until the caller's deadline, which passes during a suspension too.
 pub(crate) async fn wait_for_deadline(gateway: Rc<Gateway>, call: SharedCall) {
     let never = std::future::pending::<()>();
     within_deadline(&gateway, &call, never).await;
--- a/crates/gateway/src/teams.rs
+++ b/crates/gateway/src/teams.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, and whether its team may send it now.
+//! Team identification and quota admission of requests.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -13,11 +13,10 @@
 use onyxfall_types::{RefusalReason, RequestError, TeamId, TeamName};
 
 use crate::gateway::Gateway;
-use crate::metrics::{MOST_TEAMS, QuotaOutcome};
+use crate::metrics::{MAX_TEAMS, QuotaOutcome};
 use crate::report::millis;
 
-/// What an admitted request counts against its team's limit; given back if it did not
-/// run and will not.
+/// Quota charge of an admitted request; refunded if the request did not run and will not.
 pub(crate) struct QuotaCharge {
     gateway: Rc<Gateway>,
     team: TeamName,
@@ -26,16 +25,16 @@
 }
 
 impl QuotaCharge {
-    /// Gives it back: the request did not run.
-    pub(crate) fn give_back(self) {
+    /// Refunds the charge of a request that did not run.
+    pub(crate) fn refund(self) {
         let mut quotas = self.gateway.quotas.borrow_mut();
         quotas.give_back(self.tag, self.cost);
         let metrics = &self.gateway.metrics;
-        metrics.count_team(self.team.as_str(), QuotaOutcome::GivenBack, self.cost);
+        metrics.count_team(self.team.as_str(), QuotaOutcome::Refunded, self.cost);
     }
 }
 
-/// The team of a request; none on public routes and where there are no teams.
+/// Identifies the team of a request. `None` on public routes and without teams.
 pub(crate) fn identify(
     table: &RouteTable,
     rule: &RouteRule,
@@ -44,18 +43,18 @@
     let Some(teams) = table.teams().filter(|_| !rule.is_public) else {
         return Ok(None);
     };
-    let refuse = |detail| Err(RequestError::not_run(RefusalReason::Unauthorized, detail));
+    let reject = |detail| Err(RequestError::not_run(RefusalReason::Unauthorized, detail));
     match credential {
-        CallerCredential::Missing => refuse("a request needs a key"),
-        CallerCredential::Malformed => refuse("the credential is not one bearer key"),
+        CallerCredential::Missing => reject("the request lacks an API key"),
+        CallerCredential::Malformed => reject("the credential is not a single bearer key"),
         CallerCredential::Key(key) => match teams.holder(&key) {
             Some(team) => Ok(Some(team)),
-            None => refuse("no team holds the key"),
+            None => reject("the API key belongs to no team"),
         },
     }
 }
 
-/// Counts a request against its team's limit; none if the team has none.
+/// Charges a request to the quota of its team. `None` if the team has no quota.
 pub(crate) fn admit(
     gateway: &Rc<Gateway>,
     teams: &TeamTable,
@@ -100,9 +99,9 @@
                 demand = demand.round(),
                 level = level.round(),
                 retry_ms = millis(retry_after);
-                "beyond the team's limit"
+                "request exceeds the quota of its team"
             );
-            let detail = format!("team {} is beyond its limit", rule.name);
+            let detail = format!("team {} has exceeded its quota", rule.name);
             let error = RequestError::not_run(RefusalReason::RateLimited, detail);
             Err(error.with_retry_after(retry_after))
         }
@@ -110,7 +109,7 @@
 }
 
 impl Gateway {
-    /// Makes the teams of a configuration known to the limits.
+    /// Applies the quotas of the teams of a configuration.
     pub(crate) fn set_teams(&self, table: &RouteTable) {
         let teams = table.teams().into_iter().flat_map(TeamTable::iter);
         let limited = teams.filter_map(|(_, rule): (TeamId, &TeamRule)| {
@@ -120,8 +119,8 @@
         self.quotas.borrow_mut().set_teams(self.now(), limited);
     }
 
-    /// The version in force, and of each team with a limit the limit and what is asked of
-    /// this VM, as metrics.
+    /// Renders metrics: the configuration version, and the limit of each team with its demand
+    /// on this VM.
     pub(crate) fn team_gauges(&self) -> String {
         let Some(table) = self.table() else {
             return String::new();
@@ -131,7 +130,7 @@
         let quotas = self.quotas.borrow();
         let demands: BTreeMap<u32, f64> = quotas.own_demand(now).collect();
         let teams = table.teams().into_iter().flat_map(TeamTable::iter);
-        for (_, rule) in teams.take(MOST_TEAMS) {
+        for (_, rule) in teams.take(MAX_TEAMS) {
             let Some(limit) = rule.quota else { continue };
             let demand = demands.get(&rule.tag()).copied().unwrap_or(0.0);
             let label = format!("{{team=\"{}\"}}", rule.name);
@@ -141,19 +140,19 @@
         out
     }
 
-    /// Tells the limits which VMs share them.
+    /// Updates the number of VMs and regions that share the quotas.
     pub(crate) fn refresh_quota_peers(&self, now: Moment) {
         let overlay = self.overlay.borrow();
         let roster = overlay.roster();
         let near = || roster.others().filter(|vm| roster.is_near(&vm.record));
-        let heard = near().filter(|vm| vm.is_alive()).count() + 1;
+        let alive = near().filter(|vm| vm.is_alive()).count() + 1;
         let regions = &self.settings().place.centers;
         let mut regions: Vec<_> = regions.values().collect();
         regions.sort_unstable();
         regions.dedup();
         let mut quotas = self.quotas.borrow_mut();
         quotas.set_peers(QuotaPeers {
-            reachable_share: heard as f64 / (near().count() + 1) as f64,
+            reachable_share: alive as f64 / (near().count() + 1) as f64,
             vms: roster.others().filter(|vm| KnownVm::is_alive(vm)).count() + 1,
             regions: regions.len(),
         });
--- a/crates/gateway/src/silence.rs
+++ b/crates/gateway/src/unresponsive.rs
@@ -1,8 +1,8 @@
-//! Leaving a server that is taken for silent.
+//! Handling of servers that are judged unresponsive.
 //!
-//! What waits for such a server's answer and may be sent again is moved at once: its
-//! connection, which is closed with that, would break only after 1.5 s, and one that is
-//! merely idle after three.
+//! Requests that wait for such a server's response and may be sent again are moved to another
+//! server at once. Their connection is closed with that; otherwise it would be dropped only
+//! after 1.5 s, and an idle one after 3 s.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -12,59 +12,59 @@
 
 use crate::gateway::Gateway;
 
-/// Ends when a server is taken for silent.
+/// Waits until a server is judged unresponsive.
 pub(crate) async fn wait_until_unresponsive(gateway: Rc<Gateway>, server: ServerId) {
     loop {
-        let noticed = gateway.silence.notified();
+        let notified = gateway.silence.notified();
         if gateway.is_silent(server) {
             return;
         }
-        noticed.await;
+        notified.await;
     }
 }
 
-/// Ends when a server has started again: what ran there has ended.
+/// Waits until a server has restarted: whatever ran on the old instance is lost.
 pub(crate) async fn wait_for_replacement(gateway: Rc<Gateway>, server: ServerId) {
     loop {
-        let noticed = gateway.silence.notified();
+        let notified = gateway.silence.notified();
         if gateway.fleet.borrow().server(server).is_replaced() {
             return;
         }
-        noticed.await;
+        notified.await;
     }
 }
 
 impl Gateway {
-    /// Whether a server is taken for silent.
+    /// Whether a server is judged unresponsive.
     pub(crate) fn is_silent(&self, server: ServerId) -> bool {
         let now = self.now();
         self.fleet.borrow().is_silent(now, server)
     }
 
-    /// Looks for servers that are silent by time alone: an answer of this VM has become
-    /// overdue after the other votes had come.
+    /// Looks for servers that have become unresponsive by passage of time alone: a response to
+    /// this VM became overdue after the other VMs' votes had arrived.
     pub(crate) fn refresh_unresponsive(&self, now: Moment) {
         let live: BTreeSet<ServerId> = self.fleet.borrow().live().map(|(id, _)| id).collect();
         self.unresponsive_servers
             .borrow_mut()
             .retain(|id| live.contains(id));
         for server in live {
-            self.note_silence(now, server);
+            self.update_unresponsive(now, server);
         }
     }
 
-    /// Logs that a server is now taken for silent, or no longer, and wakes those that wait
-    /// for it.
-    pub(crate) fn note_silence(&self, now: Moment, server: ServerId) {
+    /// Logs when a server becomes unresponsive or responsive again, and wakes the tasks that
+    /// wait for it to become unresponsive.
+    pub(crate) fn update_unresponsive(&self, now: Moment, server: ServerId) {
         let fleet = self.fleet.borrow();
         let is_silent = fleet.is_silent(now, server);
-        let mut noted = self.unresponsive_servers.borrow_mut();
-        let is_news = if is_silent {
-            noted.insert(server)
+        let mut unresponsive = self.unresponsive_servers.borrow_mut();
+        let has_changed = if is_silent {
+            unresponsive.insert(server)
         } else {
-            noted.remove(&server)
+            unresponsive.remove(&server)
         };
-        if !is_news {
+        if !has_changed {
             return;
         }
         let votes = fleet.server(server).votes(now);
@@ -73,7 +73,7 @@
             silent = is_silent,
             good = votes.good,
             bad = votes.bad;
-            "server judged by all VMs"
+            "server responsiveness changed"
         );
         if is_silent {
             self.metrics.count("onyxfall_silent_servers_total");
--- a/crates/gateway/src/updates.rs
+++ b/crates/gateway/src/updates.rs
@@ -1,5 +1,5 @@
-//! What VMs tell each other: the overlay's own messages, with what this program adds
-//! to them (its copy of the store, learned costs, what regions have free).
+//! Updates that VMs exchange: the overlay's own messages and the gateway's additions to them
+//! (state of the store copy, learned costs, free capacity of regions, suspects).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,50 +14,50 @@
 use onyxfall_types::{RegionName, VmName, name_tag};
 use onyxfall_wire::{RegionLoadEntry, ServiceLoadEntry, TeamDemandEntry, VmUpdate};
 
-use crate::costs::{CostCursor, take_costs};
+use crate::costs::{CostCursor, apply_costs};
 use crate::frames::{overlay_update, wire_millis, wire_update};
 use crate::gateway::Gateway;
 use crate::share::PeerCopy;
 
-/// Least time between two looks at this VM's own work: an aggregator tells hundreds of
+/// Shortest interval at which this VM's own work is collected: an aggregator sends hundreds of
 /// messages a second.
-const OWN_WORK_LOOK: Duration = Duration::from_millis(15);
+const OWN_WORK_INTERVAL: Duration = Duration::from_millis(15);
 
-/// What was told in one direction of one link.
+/// What has been sent in one direction of one link.
 #[derive(Default)]
 pub(crate) struct UpdateSendState {
     link: LinkState,
     costs: CostCursor,
     suspects: SuspectCursor,
-    /// When the last word told of each region was said.
+    /// For each region, the time of the last load report that was sent.
     regions: BTreeMap<RegionName, Moment>,
 }
 
-/// An update that was taken.
+/// How to treat an update that was received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct UpdateReceiveState {
-    /// What its sender is to this VM; none if that is of a later version.
+    /// What the sender is to this VM; `None` if this version does not know the relation.
     pub(crate) relation: Option<LinkRelation>,
-    /// What to answer with, if anything.
+    /// Relation of the update to reply with, if any.
     pub(crate) answer: Option<LinkRelation>,
-    /// Whether its sender waits for the answer.
-    pub(crate) asks: bool,
+    /// Whether the sender waits for the reply.
+    pub(crate) is_query: bool,
 }
 
 impl UpdateSendState {
-    /// The overlay's part of it.
+    /// The overlay's part of the state.
     pub(crate) fn link(&self) -> &LinkState {
         &self.link
     }
 }
 
 impl Gateway {
-    /// What to tell on a link now.
+    /// Builds the next update for a link.
     pub(crate) fn make_update(
         &self,
         relation: LinkRelation,
         peer: Option<&VmName>,
-        told: &mut UpdateSendState,
+        sent: &mut UpdateSendState,
     ) -> VmUpdate {
         let now = self.now();
         self.refresh_status();
@@ -65,20 +65,20 @@
         let update = self
             .overlay
             .borrow_mut()
-            .tell(now, relation, peer, &mut told.link);
+            .tell(now, relation, peer, &mut sent.link);
         let mut update = wire_update(&update);
         let copy = self.mirror.borrow().state();
         update.copy_hash = copy.hash;
         update.copy_revision = copy.revision;
         update.copy_is_whole = self.copy_is_whole();
-        update.costs = cost_view(relation).map_or_else(Vec::new, |view| told.costs.due(self, view));
-        update.regions = self.region_words(now, relation, &mut told.regions);
-        self.collect_suspects(&mut told.suspects, &mut update);
+        update.costs = cost_view(relation).map_or_else(Vec::new, |view| sent.costs.due(self, view));
+        update.regions = self.region_updates(now, relation, &mut sent.regions);
+        self.collect_suspects(&mut sent.suspects, &mut update);
         update
     }
 
-    /// Takes what a VM tells; none if its link has to start anew.
-    pub(crate) fn take_update(
+    /// Applies an update from another VM. Returns `None` if its link has to be set up anew.
+    pub(crate) fn apply_update(
         &self,
         from: &VmName,
         update: &VmUpdate,
@@ -90,22 +90,22 @@
             return Some(UpdateReceiveState::default());
         };
         let relation = message.relation;
-        let taken = self.overlay.borrow_mut().take(now, from, &message);
+        let received = self.overlay.borrow_mut().take(now, from, &message);
         self.metrics
-            .count_more("onyxfall_absurd_work_total", taken.absurd as u64);
-        if taken.is_cut {
+            .count_more("onyxfall_absurd_work_total", received.absurd as u64);
+        if received.is_cut {
             return None;
         }
         self.apply_work(now);
         match relation {
-            LinkRelation::Digest => self.note_digest(),
+            LinkRelation::Digest => self.record_digest(),
             LinkRelation::Report | LinkRelation::Partial => self.queries.changed.notify_waiters(),
             _ => {}
         }
-        take_costs(self, from, cost_teller(relation), &update.costs);
-        self.take_regions(now, relation, &update.regions);
+        apply_costs(self, from, cost_source(relation), &update.costs);
+        self.apply_regions(now, relation, &update.regions);
         self.apply_suspects(now, update);
-        self.compare_copy(
+        self.record_peer_copy(
             from,
             PeerCopy {
                 state: CopyState {
@@ -118,11 +118,11 @@
         Some(UpdateReceiveState {
             relation: Some(relation),
             answer: self.overlay.borrow().answer(from, relation),
-            asks: update.asks,
+            is_query: update.asks,
         })
     }
 
-    /// Brings what this VM says of itself up to date; other VMs are told at once.
+    /// Refreshes this VM's own status. If it has changed, other VMs are notified at once.
     pub(crate) fn refresh_status(&self) {
         let status = VmStatus {
             is_ready: self.is_ready(),
@@ -134,10 +134,10 @@
         }
     }
 
-    /// Sets other VMs' work where it has changed.
+    /// Applies changes of other VMs' work.
     pub(crate) fn apply_work(&self, now: Moment) {
-        let news = self.overlay.borrow_mut().totals_mut().take_changes();
-        for tag in news {
+        let changed = self.overlay.borrow_mut().totals_mut().take_changes();
+        for tag in changed {
             let work = self.overlay.borrow().totals().others(tag);
             let server = self.fleet.borrow().find_tag(tag.0);
             match server {
@@ -146,16 +146,17 @@
                     let mut fleet = self.fleet.borrow_mut();
                     fleet.server_mut(server).set_others(now, work);
                     drop(fleet);
-                    self.note_silence(now, server);
+                    self.update_unresponsive(now, server);
                     self.log_limit_change(now, server, was_limited);
                 }
-                None if self.take_evidence(tag, &work) => {}
+                None if self.apply_evidence(tag, &work) => {}
                 None => self.apply_rate(now, tag, work.flow),
             }
         }
     }
 
-    /// Sets other VMs' rate with a short name: a team's demand, or thousandths of a rate.
+    /// Sets the rate that other VMs report under a tag that is not a server's: a team's demand,
+    /// or a request rate in thousandths.
     fn apply_rate(&self, now: Moment, tag: ServerTag, flow: u64) {
         if self
             .quotas
@@ -172,13 +173,13 @@
                 .borrow_mut()
                 .set_peer_rate(now, tag.0, rate)
         {
-            log::debug!("work told of an unknown server {}", tag.0);
+            log::debug!("ignoring work of an unknown server {}", tag.0);
         }
     }
 
     pub(crate) fn refresh_own_work(&self, now: Moment) {
-        let looked = self.own_work_at.get();
-        if looked.is_some_and(|at| now - at < OWN_WORK_LOOK) {
+        let collected_at = self.own_work_at.get();
+        if collected_at.is_some_and(|at| now - at < OWN_WORK_INTERVAL) {
             return;
         }
         self.own_work_at.set(Some(now));
@@ -208,12 +209,12 @@
         self.overlay.borrow_mut().totals_mut().set_own(work);
     }
 
-    /// Words on regions that are news on a link.
-    fn region_words(
+    /// The load reports of regions that have not been sent on a link yet.
+    fn region_updates(
         &self,
         now: Moment,
         relation: LinkRelation,
-        told: &mut BTreeMap<RegionName, Moment>,
+        sent: &mut BTreeMap<RegionName, Moment>,
     ) -> Vec<RegionLoadEntry> {
         match relation {
             LinkRelation::Region => vec![RegionLoadEntry {
@@ -227,56 +228,59 @@
                 .remote_table
                 .borrow()
                 .words(now)
-                .filter(|(region, said, _)| told.insert((*region).clone(), *said) != Some(*said))
-                .map(|(region, said, loads)| RegionLoadEntry {
+                .filter(|(region, at, _)| sent.insert((*region).clone(), *at) != Some(*at))
+                .map(|(region, at, loads)| RegionLoadEntry {
                     region: region.to_string(),
-                    age_ms: wire_millis(now - said),
+                    age_ms: wire_millis(now - at),
                     services: loads
                         .iter()
                         .map(|(tag, load)| load_entry(*tag, load))
                         .collect(),
                     teams: demand_entries(self.quotas.borrow().demand_of(region)),
-                    evidence: self.far_evidence(region),
+                    evidence: self.remote_evidence(region),
                 })
                 .collect(),
             _ => Vec::new(),
         }
     }
 
-    /// Takes words on other regions. An aggregator of a region tells of its own only.
-    fn take_regions(&self, now: Moment, relation: LinkRelation, words: &[RegionLoadEntry]) {
+    /// Applies load reports of other regions. An aggregator of a region reports its own region
+    /// only.
+    fn apply_regions(&self, now: Moment, relation: LinkRelation, updates: &[RegionLoadEntry]) {
         let own = self.settings().place.region.clone();
-        for word in words {
-            let Ok(region) = word.region.parse::<RegionName>() else {
+        for update in updates {
+            let Ok(region) = update.region.parse::<RegionName>() else {
                 continue;
             };
             if region == own {
                 continue;
             }
             let trip = self.trips.borrow().to(&region);
-            let mut age = Duration::from_millis(word.age_ms.into());
+            let mut age = Duration::from_millis(update.age_ms.into());
             if relation == LinkRelation::Region {
                 age += trip / 2;
             }
-            let loads = word
+            let loads = update
                 .services
                 .iter()
-                .map(|entry| (entry.service, read_load(entry)));
-            let said = now.before(age);
-            let demands: Vec<(u32, f64)> = word
+                .map(|entry| (entry.service, load_from_entry(entry)));
+            let reported_at = now.before(age);
+            let demands: Vec<(u32, f64)> = update
                 .teams
                 .iter()
                 .map(|entry| (entry.team, entry.demand as f64))
                 .collect();
-            self.take_far_evidence(&region, &word.evidence);
-            self.quotas.borrow_mut().receive(said, &region, &demands);
+            self.apply_remote_evidence(&region, &update.evidence);
+            self.quotas
+                .borrow_mut()
+                .receive(reported_at, &region, &demands);
             self.remote_table
                 .borrow_mut()
-                .hear(said, &region, trip, loads.collect());
+                .hear(reported_at, &region, trip, loads.collect());
         }
     }
 
-    /// What this region has free, by service.
+    /// Free capacity of this region, by service.
     fn own_loads(&self, now: Moment) -> Vec<ServiceLoadEntry> {
         let Some(table) = self.table() else {
             return Vec::new();
@@ -284,7 +288,7 @@
         let fleet = self.fleet.borrow();
         let mut entries = Vec::new();
         for service in table.services() {
-            let usual = CallRequirements {
+            let typical = CallRequirements {
                 service: service.name.clone(),
                 engine: service.engine,
                 prompt: PromptSize::default(),
@@ -295,11 +299,11 @@
                 homes: HomeRegions::Any,
             };
             let offers: Vec<(TimePrediction, Duration)> = fleet
-                .free_servers(now, &usual)
+                .free_servers(now, &typical)
                 .map(|id| {
                     (
-                        fleet.predict(now, id, &usual),
-                        fleet.predict_event_interval(now, id, &usual),
+                        fleet.predict(now, id, &typical),
+                        fleet.predict_event_interval(now, id, &typical),
                     )
                 })
                 .collect();
@@ -323,7 +327,7 @@
     }
 }
 
-/// Whose costs a relation tells, if any.
+/// Whose costs a relation reports, if any.
 fn cost_view(relation: LinkRelation) -> Option<CostView> {
     match relation {
         LinkRelation::Report => Some(CostView::Own),
@@ -333,7 +337,7 @@
     }
 }
 
-fn cost_teller(relation: LinkRelation) -> CostSource {
+fn cost_source(relation: LinkRelation) -> CostSource {
     match relation {
         LinkRelation::Report => CostSource::Member,
         _ => CostSource::Aggregator,
@@ -351,7 +355,7 @@
     }
 }
 
-fn read_load(entry: &ServiceLoadEntry) -> ServiceLoad {
+fn load_from_entry(entry: &ServiceLoadEntry) -> ServiceLoad {
     ServiceLoad {
         wait: Duration::from_millis(entry.wait_ms.into()),
         usable: entry.usable,
--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -1,4 +1,5 @@
-//! Runs that may not be repeated go on from their copy when their server dies.
+//! A run that may not be repeated resumes from its copy on another server when its server
+//! crashes.
 
 mod support;
 
@@ -11,46 +12,47 @@
 
 struct CopyCase {
     name: &'static str,
-    /// What every server does with runs that begin there.
+    /// Failure of every server for runs that start on it.
     failing: ServerFault,
-    /// Whether the stream must be whole.
+    /// Whether the caller must receive the complete stream.
     is_whole: bool,
-    /// Event after which another server must have gone on.
-    goes_on_after: Option<&'static str>,
+    /// ID of the last event before another server must have resumed the run; `None` if none
+    /// may.
+    resumes_after: Option<&'static str>,
 }
 
 #[test]
-fn a_run_goes_on_from_its_copy_or_ends_broken() {
+fn a_run_resumes_from_its_copy_or_ends_broken() {
     let cases = [
         CopyCase {
             name: "after an event",
             failing: ServerFault::BreaksStreams(BreakPoint::AfterEvent),
             is_whole: true,
-            goes_on_after: Some("1"),
+            resumes_after: Some("1"),
         },
         CopyCase {
             name: "in the middle of an event",
             failing: ServerFault::BreaksStreams(BreakPoint::InEvent),
             is_whole: true,
-            goes_on_after: Some("1"),
+            resumes_after: Some("1"),
         },
         CopyCase {
             name: "after the last event, before the end",
             failing: ServerFault::BreaksStreams(BreakPoint::BeforeEnd),
             is_whole: true,
-            goes_on_after: Some("3"),
+            resumes_after: Some("3"),
         },
         CopyCase {
-            name: "before the first event: there is nothing to go on from",
+            name: "before the first event: nothing to resume from",
             failing: ServerFault::BreaksStreams(BreakPoint::BeforeEvents),
             is_whole: false,
-            goes_on_after: None,
+            resumes_after: None,
         },
         CopyCase {
             name: "the copy is lost",
             failing: ServerFault::BreaksAndLosesBackups,
             is_whole: false,
-            goes_on_after: None,
+            resumes_after: None,
         },
     ];
     thread::scope(|scope| {
@@ -75,22 +77,22 @@
     let gateway = site.gateway(0);
     gateway.wait_served();
     let path = "/stream/model/x";
-    let mut asked = 0;
-    wait_for("every model server to be known", || {
-        asked += 1;
-        let reply = call(gateway.callers(), path, &format!("first{asked}")).unwrap();
-        assert!(!reply.broken, "{}: nothing has failed yet", case.name);
+    let mut requests = 0;
+    wait_for("every model server to receive a request", || {
+        requests += 1;
+        let reply = call(gateway.callers(), path, &format!("first{requests}")).unwrap();
+        assert!(!reply.broken, "{}: no server has failed yet", case.name);
         servers.iter().all(|server| !server.runs().is_empty())
     });
     assert!(
         copies(&servers).is_empty(),
-        "{}: copied without a crash",
+        "{}: a run was copied before any crash",
         case.name
     );
     for server in &servers {
         server.set_fault(case.failing);
     }
-    // A first crash comes without warning; the service is then known to be at risk.
+    // No warning precedes the first crash. After it, the service is known to be at risk.
     let first = call(gateway.callers(), path, "crash").unwrap();
     assert!(first.broken, "{}: the first crash", case.name);
     let second = call(gateway.callers(), path, "tested").unwrap();
@@ -103,14 +105,14 @@
         .flat_map(ServerStub::runs)
         .filter(|run| run.call.request_id == "tested")
         .collect();
-    let begun = runs.iter().filter(|run| run.call.copy_from.is_none());
-    assert_eq!(begun.count(), 1, "{}: it began once", case.name);
-    let went_on = runs.iter().find(|run| run.call.copy_from.is_some());
-    let after = went_on.and_then(|run| run.call.last_event.as_deref());
-    assert_eq!(after, case.goes_on_after, "{}: went on", case.name);
+    let started = runs.iter().filter(|run| run.call.copy_from.is_none());
+    assert_eq!(started.count(), 1, "{}: started once", case.name);
+    let resumed = runs.iter().find(|run| run.call.copy_from.is_some());
+    let after = resumed.and_then(|run| run.call.last_event.as_deref());
+    assert_eq!(after, case.resumes_after, "{}: resumed", case.name);
 }
 
-/// Requests whose run was copied.
+/// IDs of the requests whose run was copied.
 fn copies(servers: &[ServerStub]) -> Vec<String> {
     servers
         .iter()
