--- a/crates/gateway/tests/crashing.rs
+++ b/crates/gateway/tests/crashing.rs
@@ -1,24 +1,14 @@
-//! A request that crashes every server that runs it is stopped, on every VM.
+//! A request that crashes the servers that run it is stopped on every VM.
 //!
-//! What users saw: all captioning servers of two regions crashed at once, came back, and
-//! crashed again within seconds, six times in a minute and a half. Each time some thirty
-//! narrations and captions of other callers broke off with each server, and nine in ten
-//! captions of those seconds were lost.
+//! Guards against an outage in which one caller's request crashed 28 servers of two regions
+//! within a minute and a half, along with the streams of other callers that ran there. A
+//! server crashed 40 to 180 ms after it had started the request. The VM retried it on the
+//! next server 1 to 4 ms later, four times in half a second, and the caller sent it again to
+//! other VMs with a new id and from another address.
 //!
-//! Order of events: one caller's caption reached a server, which crashed 40 to 180 ms
-//! after it had begun to run it. The VM sent the caption on to the next server 1 to 4 ms
-//! later, four in half a second. The caller, whose answer had broken off, sent the same
-//! caption again, to another VM, under a new id and from another address. 28 servers
-//! crashed under it.
-//!
-//! Cause: nothing that a VM learnt from a crash outlived the request. Each repeat was a new
-//! request to every VM, and a stream that could be resumed was resumed without a bound,
-//! since servers that went on with it were not counted as attempts.
-//!
-//! Evidence: every server that crashed ran this one caption, and none crashed without it;
-//! requests ended with `resumes` 2 and `arrivals` 1 in the log, which is the count that
-//! should have stopped them. While the caller's address counted as part of the request,
-//! 26 servers still crashed.
+//! Two faults combined: no evidence of a crash outlived the request, and resumed streams did
+//! not count as attempts. The address of the caller must not be part of the request's
+//! fingerprint either; while it was, 26 servers still crashed.
 
 mod support;
 
@@ -32,23 +22,23 @@
 use support::{Gateway, Reply, Site, call, call_from, wait_for};
 
 const PATH: &str = "/stream/resume/x";
-/// Servers that one request may cost where VMs hear each other.
-const LOST_SERVERS: usize = 3;
-/// The same whatever else crashes.
-const MOST_LOST: usize = 6;
-/// Most servers that one request of a caller may reach, by the routes of a test site.
+/// Most servers that one request may crash while VMs can reach each other.
+const MAX_LOST: usize = 3;
+/// Most servers that one request may crash while other requests crash servers too.
+const MAX_LOST_MIXED: usize = 6;
+/// Most servers that one request may reach by the routes of the test site.
 const MAX_ATTEMPTS: usize = 2;
-/// Times that the caller comes back.
-const REPEATS: usize = 9;
-/// Pause before each; VMs tell each other of a crash within a heartbeat of 400 ms.
-const REPEAT_PAUSE: Duration = Duration::from_millis(600);
-/// Servers of a data centre that run at a time.
+/// Number of times that the caller retries.
+const RETRIES: usize = 9;
+/// Pause before each retry. VMs exchange crash evidence within a heartbeat of 400 ms.
+const RETRY_PAUSE: Duration = Duration::from_millis(600);
+/// Number of servers that run in a data centre at a time.
 const CENTER_SERVERS: usize = 3;
 
-/// Servers of every data centre; those that crash are replaced by new lives.
+/// Servers of all data centres; crashed ones are replaced by new instances.
 struct CrashingFleet<'a> {
     site: &'a Site,
-    lives: Vec<ServerInstance>,
+    instances: Vec<ServerInstance>,
 }
 
 struct ServerInstance {
@@ -60,8 +50,8 @@
 
 impl<'a> CrashingFleet<'a> {
     fn start(site: &'a Site, vms: usize) -> Self {
-        let lives = Vec::new();
-        let mut fleet = Self { site, lives };
+        let instances = Vec::new();
+        let mut fleet = Self { site, instances };
         for vm in 0..vms {
             for _ in 0..CENTER_SERVERS {
                 fleet.add(vm);
@@ -71,10 +61,10 @@
     }
 
     fn add(&mut self, vm: usize) {
-        let name = format!("life{}", self.lives.len());
+        let name = format!("instance{}", self.instances.len());
         let server = ServerStub::start(self.site.ip(vm)).unwrap();
         self.site.announce(&name, &server, vm);
-        self.lives.push(ServerInstance {
+        self.instances.push(ServerInstance {
             name,
             vm,
             server,
@@ -82,22 +72,25 @@
         });
     }
 
-    /// Takes crashed servers off the list and starts a new life for each.
+    /// Deletes the entries of crashed servers and starts a new instance for each.
     fn replace_crashed(&mut self) {
-        for index in 0..self.lives.len() {
-            let life = &mut self.lives[index];
-            if life.server.is_crashed() && !life.is_replaced {
-                life.is_replaced = true;
-                let (name, vm) = (life.name.clone(), life.vm);
+        for index in 0..self.instances.len() {
+            let instance = &mut self.instances[index];
+            if instance.server.is_crashed() && !instance.is_replaced {
+                instance.is_replaced = true;
+                let (name, vm) = (instance.name.clone(), instance.vm);
                 self.site.retire(&name);
                 self.add(vm);
             }
         }
     }
 
-    /// Arrivals of the request at servers, of all lives.
+    /// Number of times that the request reached a server, over all instances.
     fn arrivals(&self) -> usize {
-        let runs = self.lives.iter().flat_map(|life| life.server.runs());
+        let runs = self
+            .instances
+            .iter()
+            .flat_map(|instance| instance.server.runs());
         runs.filter(|run| run.body == CRASHING_BODY).count()
     }
 }
@@ -110,16 +103,16 @@
     gateways
 }
 
-/// The caller comes back to the VMs in turn, each time from another address, as phones
-/// do; its answers.
-fn repeat(fleet: &mut CrashingFleet<'_>, gateways: &[Gateway]) -> Vec<Reply> {
+/// Retries the request at the VMs in turn, each time from another address as a phone does.
+/// Returns the responses.
+fn retry_at_vms(fleet: &mut CrashingFleet<'_>, gateways: &[Gateway]) -> Vec<Reply> {
     let mut replies = Vec::new();
-    for number in 0..REPEATS {
+    for number in 0..RETRIES {
         let gateway = &gateways[number % gateways.len()];
-        let id = format!("repeat{number}");
+        let id = format!("retry{number}");
         let from = Ipv4Addr::new(127, 0, 1, u8::try_from(number + 1).unwrap());
         replies.extend(call_from(from, gateway.callers(), PATH, &id, CRASHING_BODY));
-        thread::sleep(REPEAT_PAUSE);
+        thread::sleep(RETRY_PAUSE);
         fleet.replace_crashed();
     }
     replies
@@ -132,7 +125,7 @@
 }
 
 #[test]
-fn a_request_that_crashes_its_servers_is_stopped_on_every_vm() {
+fn a_request_that_crashes_its_servers_is_rejected_on_every_vm() {
     let cases = [
         SpreadCase {
             name: "one VM",
@@ -164,13 +157,16 @@
     let mut fleet = CrashingFleet::start(&site, case.vms);
     site.configure(1);
     let gateways = start_vms(&site, case.vms);
-    let replies = repeat(&mut fleet, &gateways);
+    let replies = retry_at_vms(&mut fleet, &gateways);
     let arrivals = fleet.arrivals();
-    assert!(arrivals <= LOST_SERVERS, "{name}: {arrivals} arrivals");
-    let last = replies.last().expect("the caller gets an answer");
+    assert!(arrivals <= MAX_LOST, "{name}: {arrivals} arrivals");
+    let last = replies.last().expect("the caller gets a response");
     assert_eq!(last.status, StatusCode::SERVICE_UNAVAILABLE, "{name}");
     assert!(last.headers.contains_key("retry-after"), "{name}");
-    assert!(!is_signed(&last.headers), "{name}: no server's answer");
+    assert!(
+        !is_signed(&last.headers),
+        "{name}: a response of the gateway"
+    );
     for gateway in &gateways {
         let other = call(gateway.callers(), PATH, "another").unwrap();
         assert_eq!(other.status, StatusCode::OK, "{name}: another request");
@@ -178,66 +174,70 @@
     }
 }
 
-/// Two such requests at once: each one's crashes are near the other's, which weigh half.
+/// With two such requests at once, the crashes of each are close to those of the other and
+/// count only half.
 #[test]
-fn two_requests_that_crash_their_servers_do_not_hide_each_other() {
+fn two_requests_that_crash_their_servers_are_both_rejected() {
     let site = Site::start_in(3, 1);
     let mut fleet = CrashingFleet::start(&site, 3);
     site.configure(1);
     let gateways = start_vms(&site, 3);
     let paths = ["/stream/resume/one", "/stream/resume/other"];
-    for number in 0..REPEATS {
+    for number in 0..RETRIES {
         for path in paths {
             let gateway = &gateways[number % gateways.len()];
             let from = Ipv4Addr::new(127, 0, 4, u8::try_from(number + 1).unwrap());
             let id = format!("{number} of {path}");
             call_from(from, gateway.callers(), path, &id, CRASHING_BODY);
         }
-        thread::sleep(REPEAT_PAUSE);
+        thread::sleep(RETRY_PAUSE);
         fleet.replace_crashed();
     }
     for path in paths {
-        let runs = fleet.lives.iter().flat_map(|life| life.server.runs());
+        let runs = fleet
+            .instances
+            .iter()
+            .flat_map(|instance| instance.server.runs());
         let arrivals = runs.filter(|run| run.target == path).count();
-        assert!(arrivals <= MOST_LOST, "{path}: {arrivals} arrivals");
+        assert!(arrivals <= MAX_LOST_MIXED, "{path}: {arrivals} arrivals");
     }
 }
 
 #[test]
-fn a_vm_that_starts_later_runs_it_no_more() {
+fn a_vm_that_starts_later_does_not_run_the_request() {
     let site = Site::start_in(3, 1);
     let mut fleet = CrashingFleet::start(&site, 2);
     site.configure(1);
     let gateways = start_vms(&site, 2);
-    repeat(&mut fleet, &gateways);
+    retry_at_vms(&mut fleet, &gateways);
     let before = fleet.arrivals();
     let late = site.gateway(2);
     late.wait_served();
-    thread::sleep(REPEAT_PAUSE);
+    thread::sleep(RETRY_PAUSE);
     let from = Ipv4Addr::new(127, 0, 2, 1);
     let reply = call_from(from, late.callers(), PATH, "late", CRASHING_BODY).unwrap();
-    assert_eq!(fleet.arrivals(), before, "it reached no further server");
+    assert_eq!(fleet.arrivals(), before, "it reached another server");
     assert_eq!(reply.status, StatusCode::SERVICE_UNAVAILABLE);
 }
 
 #[test]
-fn servers_that_go_on_with_a_stream_count_as_attempts() {
+fn resumptions_of_a_stream_count_as_attempts() {
     let site = Site::start(1);
     let servers = site.start_servers(5);
     site.configure(1);
     let gateway = site.gateway(0);
     gateway.wait_served();
-    let mut asked = 0;
+    let mut attempts = 0;
     wait_for("every server to be known", || {
-        asked += 1;
-        call(gateway.callers(), "/repeat/x", &format!("first{asked}")).unwrap();
+        attempts += 1;
+        call(gateway.callers(), "/repeat/x", &format!("first{attempts}")).unwrap();
         servers.iter().all(|server| !server.runs().is_empty())
     });
     for server in &servers {
         server.set_fault(ServerFault::Disconnects);
     }
     let reply = call(gateway.callers(), PATH, "tested").unwrap();
-    assert!(reply.broken, "no server sends it whole");
+    assert!(reply.broken, "no server completes the stream");
     let runs = servers.iter().flat_map(ServerStub::runs);
     let runs = runs.filter(|run| run.call.request_id == "tested").count();
     assert!(runs <= MAX_ATTEMPTS, "{runs} servers ran it");
--- a/crates/gateway/tests/crashing_fleet.rs
+++ b/crates/gateway/tests/crashing_fleet.rs
@@ -1,5 +1,5 @@
-//! A request that crashes its servers is stopped where VMs hear each other by way of
-//! others: regions of so many VMs that most of them report to a few.
+//! A request that crashes its servers is stopped where VMs receive the evidence through
+//! aggregators: in regions of so many VMs that most of them report to a few.
 
 mod support;
 
@@ -14,14 +14,14 @@
 const REGIONS: usize = 2;
 const REGION_SERVERS: usize = 5;
 const PATH: &str = "/stream/resume/x";
-/// Servers that one request may cost where VMs hear each other.
-const LOST_SERVERS: usize = 3;
-const REPEATS: u8 = 10;
-/// Pause before each repeat; news takes four messages from a VM to one of another region.
-const REPEAT_PAUSE: Duration = Duration::from_millis(600);
+/// Most servers that one request may crash while VMs can reach each other.
+const MAX_LOST: usize = 3;
+const RETRIES: u8 = 10;
+/// Pause before each retry. Evidence takes four messages from a VM to one of another region.
+const RETRY_PAUSE: Duration = Duration::from_millis(600);
 
 #[test]
-fn a_request_is_stopped_on_vms_that_hear_of_it_by_others() {
+fn a_request_is_rejected_on_vms_that_receive_the_evidence_through_aggregators() {
     let site = Site::start_in(VMS, REGIONS);
     let servers: Vec<ServerStub> = (0..REGIONS * REGION_SERVERS)
         .map(|number| {
@@ -37,17 +37,17 @@
         gateway.wait_served();
     }
     let mut last = None;
-    for number in 0..REPEATS {
-        // Each time a VM of the other region.
+    for number in 0..RETRIES {
+        // Alternates between the regions.
         let gateway = &gateways[usize::from(number) * 3 % gateways.len()];
         let from = [127, 0, 3, number + 1].into();
-        let id = format!("repeat{number}");
+        let id = format!("retry{number}");
         last = call_from(from, gateway.callers(), PATH, &id, CRASHING_BODY);
-        thread::sleep(REPEAT_PAUSE);
+        thread::sleep(RETRY_PAUSE);
     }
     let runs = servers.iter().flat_map(ServerStub::runs);
     let arrivals = runs.filter(|run| run.body == CRASHING_BODY).count();
-    assert!(arrivals <= LOST_SERVERS, "{arrivals} arrivals");
-    let last = last.expect("the caller gets an answer");
+    assert!(arrivals <= MAX_LOST, "{arrivals} arrivals");
+    let last = last.expect("the caller gets a response");
     assert_eq!(last.status, StatusCode::SERVICE_UNAVAILABLE);
 }
--- a/crates/gateway/tests/failings.rs
+++ b/crates/gateway/tests/failures.rs
@@ -1,4 +1,4 @@
-//! What callers and servers see when servers fail: verdicts, runs, whole streams.
+//! Verdicts, runs and streams as seen by callers and servers when servers fail.
 
 mod support;
 
@@ -9,25 +9,25 @@
 use onyxfall_fakes::{ServerFault, ServerStub};
 use support::{ServingSite, Site, call, wait_for};
 
-struct FailingCase {
+struct FailureCase {
     name: &'static str,
     path: &'static str,
-    /// What every server does.
+    /// Failure mode of every server.
     failing: ServerFault,
     status: u16,
-    /// Runs over both servers.
+    /// Number of runs on both servers together.
     runs: usize,
-    /// Whether the caller is told when to come back.
+    /// Whether the response names a retry delay.
     has_retry_after: bool,
-    /// Whether the answer is a server's own.
+    /// Whether the response comes from a server.
     is_signed: bool,
 }
 
 #[test]
-fn verdicts_are_true_whatever_servers_do() {
+fn verdicts_are_correct_for_every_failure_mode() {
     let cases = [
-        FailingCase {
-            name: "a whole answer",
+        FailureCase {
+            name: "a whole response",
             path: "/once/",
             failing: ServerFault::None,
             status: 200,
@@ -35,8 +35,8 @@
             has_retry_after: false,
             is_signed: true,
         },
-        FailingCase {
-            name: "refused by every server",
+        FailureCase {
+            name: "rejected by every server",
             path: "/once/",
             failing: ServerFault::Rejects,
             status: 503,
@@ -44,8 +44,8 @@
             has_retry_after: true,
             is_signed: false,
         },
-        FailingCase {
-            name: "another life has the address",
+        FailureCase {
+            name: "another instance has the address",
             path: "/once/",
             failing: ServerFault::Replaced,
             status: 503,
@@ -53,8 +53,8 @@
             has_retry_after: true,
             is_signed: false,
         },
-        FailingCase {
-            name: "closed after a run that may not be repeated",
+        FailureCase {
+            name: "closed after a run that may not be retried",
             path: "/once/",
             failing: ServerFault::Closes,
             status: 502,
@@ -62,8 +62,8 @@
             has_retry_after: false,
             is_signed: false,
         },
-        FailingCase {
-            name: "closed after a run that may be repeated",
+        FailureCase {
+            name: "closed after a run that may be retried",
             path: "/repeat/",
             failing: ServerFault::Closes,
             status: 502,
@@ -71,8 +71,8 @@
             has_retry_after: false,
             is_signed: false,
         },
-        FailingCase {
-            name: "another request's answer",
+        FailureCase {
+            name: "the response of another request",
             path: "/once/",
             failing: ServerFault::WrongResponse,
             status: 502,
@@ -80,8 +80,8 @@
             has_retry_after: false,
             is_signed: false,
         },
-        FailingCase {
-            name: "a failure of the server's own, not to be repeated",
+        FailureCase {
+            name: "a server error that may not be retried",
             path: "/once/",
             failing: ServerFault::Fails,
             status: 500,
@@ -89,8 +89,8 @@
             has_retry_after: false,
             is_signed: true,
         },
-        FailingCase {
-            name: "a failure of the server's own, repeated once",
+        FailureCase {
+            name: "a server error that is retried once",
             path: "/repeat/",
             failing: ServerFault::Fails,
             status: 500,
@@ -98,8 +98,8 @@
             has_retry_after: false,
             is_signed: true,
         },
-        FailingCase {
-            name: "no answer at all",
+        FailureCase {
+            name: "no response",
             path: "/once/",
             failing: ServerFault::Unresponsive,
             status: 504,
@@ -115,7 +115,7 @@
     });
 }
 
-fn check_case(case: &FailingCase) {
+fn check_case(case: &FailureCase) {
     let site = Site::start(1);
     let servers = [
         ServerStub::start(site.ip(0)).unwrap(),
@@ -136,7 +136,11 @@
     assert_eq!(reply.status.as_u16(), case.status, "{}: status", case.name);
     assert_eq!(after - before, case.runs, "{}: runs", case.name);
     let retry_after = reply.headers.contains_key("retry-after");
-    assert_eq!(retry_after, case.has_retry_after, "{}: time", case.name);
+    assert_eq!(
+        retry_after, case.has_retry_after,
+        "{}: retry-after",
+        case.name
+    );
     assert_eq!(
         is_signed(&reply.headers),
         case.is_signed,
@@ -163,7 +167,7 @@
 }
 
 #[test]
-fn a_broken_stream_never_looks_whole() {
+fn a_stream_with_a_lost_connection_never_looks_whole() {
     let ServingSite {
         gateway,
         server,
@@ -174,11 +178,11 @@
     assert_eq!(whole.text(), ServerStub::whole_stream());
     server.set_fault(ServerFault::Disconnects);
     let broken = call(gateway.callers(), "/stream/x", "broken").unwrap();
-    assert!(broken.broken, "a stream that broke off looks whole");
+    assert!(broken.broken, "a stream with a lost connection looks whole");
 }
 
 #[test]
-fn a_resumable_stream_goes_on_at_another_server() {
+fn a_resumable_stream_is_resumed_by_another_server() {
     let site = Site::start(1);
     let servers = [
         ServerStub::start(site.ip(0)).unwrap(),
@@ -190,12 +194,17 @@
     gateway.wait_served();
     servers[0].set_fault(ServerFault::Disconnects);
     site.announce("s1", &servers[1], 0);
-    // Whichever is asked first, an answer is whole; the one that breaks off is
-    // asked sooner or later, and then the other one goes on after its event.
-    let mut asked = 0;
-    wait_for("a stream to go on at the other server", || {
-        asked += 1;
-        let reply = call(gateway.callers(), "/stream/resume/x", &format!("r{asked}")).unwrap();
+    // Either server may be chosen first and the response is whole in any case. Sooner or
+    // later the failing one is, and then the other one resumes after its last event.
+    let mut attempts = 0;
+    wait_for("the other server to resume a stream", || {
+        attempts += 1;
+        let reply = call(
+            gateway.callers(),
+            "/stream/resume/x",
+            &format!("r{attempts}"),
+        )
+        .unwrap();
         let is_resumed = servers[1]
             .runs()
             .iter()
@@ -209,7 +218,7 @@
 }
 
 #[test]
-fn a_server_is_left_when_its_caller_leaves() {
+fn a_request_is_cancelled_when_its_caller_disconnects() {
     let ServingSite {
         gateway,
         server,
@@ -220,7 +229,7 @@
     let mut stream = std::net::TcpStream::connect(gateway.callers()).unwrap();
     let headers = onyxfall_adapter::stub::caller_headers(
         support::HOST,
-        "leaver",
+        "cancelled",
         std::time::Duration::from_secs(3),
     );
     let mut head = "GET /repeat/x HTTP/1.1\r\n".to_owned();
@@ -233,5 +242,5 @@
         server.runs().len() > before
     });
     drop(stream);
-    wait_for("the server to be left", || server.cut() > 0);
+    wait_for("the request to be cancelled", || server.cut() > 0);
 }
--- a/crates/gateway/tests/frames.rs
+++ b/crates/gateway/tests/frames.rs
@@ -1,5 +1,5 @@
-//! What another VM sends is taken or refused, whatever it is: the gateway goes on serving,
-//! and what it keeps stays bounded.
+//! The gateway applies or rejects any frame that another VM sends. It keeps serving, and its
+//! memory stays bounded.
 
 mod support;
 
@@ -20,18 +20,18 @@
 use support::{Gateway, ServingSite, call};
 
 const SEED: u64 = 7;
-/// Frames that are sent, 1.4 s of them.
+/// Number of frames sent, which takes 1.4 s.
 const FRAMES: usize = 20_000;
-/// Bytes that are changed in one.
+/// Number of bytes changed in one frame.
 const CHANGES: std::ops::RangeInclusive<usize> = 0..=3;
-/// Frames on a connection: the first one that is malformed ends it.
-const FRAMES_EACH: usize = 4;
-/// Bytes of a frame's length, which is changed in one of ten only: most lengths ask for
-/// more than is ever sent.
+/// Number of frames on a connection, kept low because the first malformed frame closes it.
+const FRAMES_PER_CONNECTION: usize = 4;
+/// Size of a frame's length prefix. It is changed in one of ten frames only: most lengths
+/// announce more bytes than are ever sent.
 const LENGTH_BYTES: usize = 4;
-/// Memory of the smallest VMs, in KB; a gateway at rest takes some 10 MB.
-const MOST_MEMORY_KB: u64 = 160 * 1024;
-const PATIENCE: Duration = Duration::from_millis(200);
+/// Memory of the smallest VMs, in KB; an idle gateway takes about 10 MB.
+const MAX_MEMORY_KB: u64 = 160 * 1024;
+const READ_TIMEOUT: Duration = Duration::from_millis(200);
 
 fn entry(name: &str) -> VmEntry {
     VmEntry {
@@ -100,7 +100,7 @@
     }
 }
 
-/// An item of the store that this system does not use: a change of it must do no harm.
+/// An item of the store that this system does not use, so that changes of it have no effect.
 fn item() -> SnapshotItem {
     SnapshotItem {
         key: "status/x".to_owned(),
@@ -134,7 +134,7 @@
     ]
 }
 
-fn written(payload: PeerPayload) -> Vec<u8> {
+fn encode(payload: PeerPayload) -> Vec<u8> {
     let mut writer = FrameWriter::new(Vec::new());
     writer.write(&payload.into()).unwrap();
     writer.stream().clone()
@@ -152,25 +152,26 @@
     }
 }
 
-/// Sends frames until the other side closes, or enough were sent; how many were.
+/// Sends frames until the other side closes the connection or [`FRAMES_PER_CONNECTION`] are
+/// sent. Returns the number sent.
 fn send_frames(gateway: &Gateway, rng: &mut StdRng, frames: &[Vec<u8>]) -> usize {
     let peers = SocketAddr::new(IpAddr::V4(gateway.ip), gateway.ports.peers);
     let mut stream = TcpStream::connect(peers).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
     stream.write_all(&frames[0]).unwrap();
-    // Its greeting: the link is up.
-    let mut answer = [0; 64];
-    if !matches!(stream.read(&mut answer), Ok(len) if len > 0) {
+    // The hello of the gateway: the link is up.
+    let mut reply = [0; 64];
+    if !matches!(stream.read(&mut reply), Ok(len) if len > 0) {
         return 1;
     }
-    for sent in 1..FRAMES_EACH {
+    for sent in 1..FRAMES_PER_CONNECTION {
         let mut frame = frames[rng.random_range(0..frames.len())].clone();
         mutate(rng, &mut frame);
         if stream.write_all(&frame).is_err() {
             return sent;
         }
     }
-    FRAMES_EACH
+    FRAMES_PER_CONNECTION
 }
 
 fn memory_kb(gateway: &Gateway) -> u64 {
@@ -181,22 +182,22 @@
 }
 
 #[test]
-fn mutated_frames_of_other_vms_do_no_harm() {
+fn mutated_frames_do_not_affect_serving() {
     let serving = ServingSite::start();
     let gateway = &serving.gateway;
     let mut rng = StdRng::seed_from_u64(SEED);
-    let frames = payloads().map(written);
+    let frames = payloads().map(encode);
     let mut sent = 0;
     while sent < FRAMES {
         sent += send_frames(gateway, &mut rng, &frames);
     }
-    let told = support::get(gateway.ready(), "/metrics").unwrap();
-    let has_taken = told.text().contains("onyxfall_absurd_suspects_total");
-    assert!(has_taken, "some frames are read to their end");
+    let metrics = support::get(gateway.ready(), "/metrics").unwrap();
+    let has_applied = metrics.text().contains("onyxfall_absurd_suspects_total");
+    assert!(has_applied, "some frames are decoded completely");
     for number in 0..20 {
         let reply = call(gateway.callers(), "/repeat/x", &format!("after{number}")).unwrap();
-        assert_eq!(reply.status, StatusCode::OK, "it serves on");
+        assert_eq!(reply.status, StatusCode::OK, "still serving");
     }
     let memory = memory_kb(gateway);
-    assert!(memory < MOST_MEMORY_KB, "{memory} KB");
+    assert!(memory < MAX_MEMORY_KB, "{memory} KB");
 }
--- a/crates/gateway/tests/large_copy.rs
+++ b/crates/gateway/tests/large_copy.rs
@@ -1,4 +1,4 @@
-//! A VM that the store turns away gets a large copy of it from another VM, in few bytes.
+//! A VM that cannot reach the store gets a large copy of it from another VM, compressed.
 
 mod support;
 
@@ -10,11 +10,11 @@
 use onyxfall_fleet::ServerRecord;
 use support::{Site, call, get, record, wait_for};
 
-/// Entries whose copy is larger than any one message may be.
+/// Number of entries whose copy exceeds the largest message.
 const ENTRIES: usize = 15_000;
-/// Name of a server after all of these.
+/// Name of a server that sorts after all of these.
 const LAST_SERVER: &str = "zz-served";
-/// Bytes by which their entries are longer: those of servers with models are.
+/// Padding of each entry: entries of servers with models are longer by as much.
 const ENTRY_BYTES: usize = 450;
 
 #[test]
@@ -34,25 +34,24 @@
     site.configure(1);
     let first = site.gateway(0);
     first.wait_served();
-    let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 9));
-    let second = site.gateway_with_store(1, nowhere);
-    // The only server of the service is the last of all entries: the whole copy has come.
+    let unreachable = SocketAddr::from((Ipv4Addr::LOCALHOST, 9));
+    let second = site.gateway_with_store(1, unreachable);
+    // The only server of the service sorts last, so the whole copy has arrived.
     wait_for("the VM without a store to serve", || {
         let reply = call(second.callers(), "/repeat/x", "asked");
         reply.is_some_and(|reply| reply.status == StatusCode::OK)
     });
 }
 
-/// Entries as a large deployment has them: what differs is where each server is and when it
-/// began.
-const USUAL_ENTRIES: u32 = 3_000;
-/// Bytes of a copy for each byte of its entries.
-const COPY_PART: f64 = 0.25;
+/// Number of entries in a large deployment. They differ in address and start time.
+const TYPICAL_ENTRIES: u32 = 3_000;
+/// Largest ratio of the bytes of a copy to the bytes of its entries.
+const MAX_COPY_RATIO: f64 = 0.25;
 
-/// What a VM's metrics say of a count; 0 if it says nothing.
-fn count(gateway: &support::Gateway, name: &str) -> f64 {
-    let told = get(gateway.ready(), "/metrics").unwrap();
-    let line = told.text().lines().find(|line| line.starts_with(name));
+/// Value of a metric of a VM; 0 if the VM does not report it.
+fn metric_value(gateway: &support::Gateway, name: &str) -> f64 {
+    let metrics = get(gateway.ready(), "/metrics").unwrap();
+    let line = metrics.text().lines().find(|line| line.starts_with(name));
     line.map_or(0.0, |line| {
         line.rsplit(' ').next().unwrap().parse().unwrap()
     })
@@ -63,7 +62,7 @@
     let site = Site::start_in(2, 1);
     let server = ServerStub::start(site.ip(0)).unwrap();
     let mut bytes = 0;
-    for number in 0..USUAL_ENTRIES {
+    for number in 0..TYPICAL_ENTRIES {
         let mixed = number.wrapping_mul(0x9e37_79b1);
         let host = Ipv4Addr::from_bits(0x0a00_0000 + (mixed >> 8));
         let entry = ServerRecord {
@@ -79,10 +78,13 @@
     site.configure(1);
     let first = site.gateway(0);
     first.wait_served();
-    let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 9));
-    let second = site.gateway_with_store(1, nowhere);
+    let unreachable = SocketAddr::from((Ipv4Addr::LOCALHOST, 9));
+    let second = site.gateway_with_store(1, unreachable);
     second.wait_served();
-    // It has the whole copy: the server that it serves with is the last of all entries.
-    let part = count(&first, "onyxfall_copy_bytes_sent_total") / bytes as f64;
-    assert!(part <= COPY_PART, "{part:.2} of the bytes of the entries");
+    // The copy is complete: the server that it uses sorts after all other entries.
+    let ratio = metric_value(&first, "onyxfall_copy_bytes_sent_total") / bytes as f64;
+    assert!(
+        ratio <= MAX_COPY_RATIO,
+        "copy takes {ratio:.2} of the bytes of its entries"
+    );
 }
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -1,4 +1,4 @@
-//! A server in need gets no more than the rate that it names for all VMs together.
+//! A server that signals a rate limit gets no more requests than that from all VMs together.
 
 mod support;
 
@@ -11,18 +11,18 @@
 use support::{Gateway, Site, call, wait_for, wait_used};
 
 const WINDOW: Duration = Duration::from_secs(4);
-/// Requests in a window that are allowed beside one and a half times the limit.
+/// Number of requests in a window that are allowed beyond one and a half times the limit.
 const SLACK: f64 = 5.0;
-/// Time after the last VM was told from which requests count.
-const TOLD: Duration = Duration::from_millis(500);
-/// Time for which callers go on after that.
-const ASKED_FOR: Duration = Duration::from_millis(5500);
-/// Age from which a VM that hears no other one knows that it is alone.
-const KNOWN_ALONE: Duration = Duration::from_millis(1600);
+/// Time after the last VM has received the limit from which requests count.
+const PROPAGATION_TIME: Duration = Duration::from_millis(500);
+/// Time for which callers keep sending after that.
+const SENDING_TIME: Duration = Duration::from_millis(5500);
+/// Age from which a VM that has discovered no other VM assumes that it is alone.
+const DISCOVERY_TIME: Duration = Duration::from_millis(1600);
 const CALLERS: usize = 6;
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// The word of a server that names a limit.
+/// Signals of a server with a rate limit.
 fn limited(limit: &'static str) -> StubSignals {
     StubSignals {
         limit: Some(limit),
@@ -30,11 +30,11 @@
     }
 }
 
-/// VMs of one region, and servers that all of them use.
+/// VMs of one region with servers that all of them use.
 struct LimitedSite {
     gateways: Vec<Gateway>,
     servers: Vec<ServerStub>,
-    // Dropped last: the addresses of the others are its.
+    // Dropped last: it owns the addresses of the others.
     site: Site,
 }
 
@@ -57,20 +57,20 @@
         }
     }
 
-    /// Lets a server name a limit until every VM has read it.
-    fn let_limit(&self, server: &ServerStub, limit: &'static str) {
+    /// Makes a server signal a limit and waits until every VM has received it.
+    fn signal_limit(&self, server: &ServerStub, limit: &'static str) {
         server.set_signals(limited(limit));
         for gateway in &self.gateways {
-            let is_told = || gateway.log().contains("limit of a server changed");
-            wait_for("a VM to read the limit", || {
-                call(gateway.callers(), "/repeat/x", "told");
-                is_told()
+            let has_received = || gateway.log().contains("limit of a server changed");
+            wait_for("a VM to receive the limit", || {
+                call(gateway.callers(), "/repeat/x", "limit");
+                has_received()
             });
         }
     }
 
-    /// Lets callers ask all VMs in turn for a while.
-    fn ask(&self, path: &str, time: Duration) {
+    /// Sends requests from several callers to all VMs in turn.
+    fn send_for(&self, path: &str, time: Duration) {
         let until = Instant::now() + time;
         let targets: Vec<SocketAddr> = self.gateways.iter().map(Gateway::callers).collect();
         thread::scope(|scope| {
@@ -80,7 +80,7 @@
                     let mut number = caller;
                     while Instant::now() < until {
                         let target = targets[number % targets.len()];
-                        call(target, path, &format!("asked{caller}-{number}"));
+                        call(target, path, &format!("sent{caller}-{number}"));
                         number += 1;
                         thread::sleep(PAUSE);
                     }
@@ -90,7 +90,7 @@
     }
 }
 
-/// The most requests that came within a window.
+/// Returns the largest number of requests that arrived within a window.
 fn busiest_window(arrivals: &[ArrivedRequest]) -> usize {
     let within = |first: &ArrivedRequest| {
         let later = arrivals.iter().filter(|other| other.at >= first.at);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_server_in_need_is_not_sent_more_than_the_limit_for_all_vms() {
+fn a_server_gets_at_most_its_limit_from_all_vms() {
     let case = |name, limit, vms, path| LimitCase {
         name,
         limit,
@@ -121,10 +121,10 @@
         case("three VMs", "1.7", 3, "/repeat/x"),
         case("requests that run once", "2", 2, "/once/x"),
         case("streams", "2", 2, "/stream/resume/x"),
-        case("a limit of nothing", "0", 2, "/repeat/x"),
+        case("a limit of zero", "0", 2, "/repeat/x"),
         LimitCase {
             failing: ServerFault::Rejects,
-            ..case("named in refusals", "2", 2, "/repeat/x")
+            ..case("signalled in rejections", "2", 2, "/repeat/x")
         },
     ];
     thread::scope(|scope| {
@@ -133,26 +133,30 @@
                 let site = LimitedSite::start(case.vms, 2);
                 let server = &site.servers[0];
                 server.set_fault(case.failing);
-                site.let_limit(server, case.limit);
-                thread::sleep(TOLD);
+                site.signal_limit(server, case.limit);
+                thread::sleep(PROPAGATION_TIME);
                 let before = server.arrived();
-                site.ask(case.path, ASKED_FOR);
-                let most = busiest_window(&server.arrivals_from(before));
+                site.send_for(case.path, SENDING_TIME);
+                let max_requests = busiest_window(&server.arrivals_from(before));
                 let rate: f64 = case.limit.parse().unwrap();
                 let allowed = 1.5 * WINDOW.as_secs_f64() * rate + SLACK;
-                assert!(most as f64 <= allowed, "{}: {most} requests", case.name);
+                assert!(
+                    max_requests as f64 <= allowed,
+                    "{}: {max_requests} requests",
+                    case.name
+                );
                 assert!(site.servers[1].arrived() > 0, "{}", case.name);
             });
         }
     });
 }
 
-/// What no server takes is refused at once, with the time after which one does.
+/// Requests beyond all limits are rejected at once with a retry delay.
 #[test]
-fn requests_beyond_the_limits_of_all_servers_are_refused_with_a_time() {
+fn requests_beyond_the_limits_of_all_servers_are_rejected_with_a_retry_delay() {
     let site = LimitedSite::start(1, 1);
-    thread::sleep(KNOWN_ALONE);
-    site.let_limit(&site.servers[0], "0.5");
+    thread::sleep(DISCOVERY_TIME);
+    site.signal_limit(&site.servers[0], "0.5");
     let address = site.gateways[0].callers();
     let mut served = 0;
     let mut refused = 0;
@@ -175,7 +179,7 @@
     assert!(refused > 0, "nothing was refused");
 }
 
-/// Waits until a VM sends a server a good part of its requests, of two servers.
+/// Waits until a VM sends a good part of its requests to one of two servers.
 fn wait_shared(what: &str, gateway: &Gateway, server: &ServerStub) {
     wait_for(what, || {
         let before = server.arrived();
@@ -187,10 +191,10 @@
 }
 
 #[test]
-fn a_limit_ends_with_the_first_answer_that_names_none() {
+fn a_limit_ends_with_the_first_response_without_one() {
     let site = LimitedSite::start(3, 2);
     let server = &site.servers[0];
-    site.let_limit(server, "1");
+    site.signal_limit(server, "1");
     server.set_signals(StubSignals::default());
     for gateway in &site.gateways {
         wait_shared("a VM to use the server again", gateway, server);
@@ -198,12 +202,12 @@
 }
 
 #[test]
-fn a_new_life_of_a_server_has_no_limit() {
+fn a_new_instance_of_a_server_has_no_limit() {
     let site = LimitedSite::start(1, 2);
     let server = &site.servers[0];
-    site.let_limit(server, "0");
+    site.signal_limit(server, "0");
     server.set_signals(StubSignals::default());
     site.site.retire("s0");
     site.site.announce("s9", server, 0);
-    wait_shared("the new life to be used", &site.gateways[0], server);
+    wait_shared("the new instance to be used", &site.gateways[0], server);
 }
--- a/crates/gateway/tests/links.rs
+++ b/crates/gateway/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links between VMs, as a peer that speaks their frames sees them.
+//! Links between VMs, tested by a peer that exchanges their frames.
 
 mod support;
 
@@ -13,15 +13,15 @@
 };
 use support::{Gateway, Site};
 
-/// Bound on one read, so that a test that fails ends.
-const READ_LIMIT: Duration = Duration::from_secs(20);
-/// Relations of the overlay by their numbers in frames.
+/// Timeout for one read, so that a failing test ends.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
+/// Numbers of the overlay's relations in frames.
 const SEEK: u32 = 2;
 const REGION: u32 = 4;
 const REFERRAL: u32 = 7;
 
-/// A VM of the second region whose links come in on `port`.
-fn stranger(port: u16) -> VmEntry {
+/// A VM of the second region that accepts links on `port`.
+fn peer_entry(port: u16) -> VmEntry {
     VmEntry {
         name: "stranger".to_owned(),
         center: "c1".to_owned(),
@@ -39,7 +39,7 @@
         protocol,
         deployment: String::new(),
         member: None,
-        vm: Some(stranger(port)),
+        vm: Some(peer_entry(port)),
     })
 }
 
@@ -49,14 +49,14 @@
 }
 
 impl Link {
-    fn open(address: SocketAddr, greeting: PeerPayload) -> Self {
-        let mut link = Self::over(TcpStream::connect(address).unwrap());
-        link.send(greeting);
+    fn open(address: SocketAddr, hello: PeerPayload) -> Self {
+        let mut link = Self::from_stream(TcpStream::connect(address).unwrap());
+        link.send(hello);
         link
     }
 
-    fn over(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(READ_LIMIT)).unwrap();
+    fn from_stream(stream: TcpStream) -> Self {
+        stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
         Self {
             reader: FrameReader::new(stream.try_clone().unwrap()),
             writer: FrameWriter::new(stream),
@@ -100,40 +100,40 @@
 }
 
 #[test]
-fn a_vm_that_looks_for_others_is_answered_at_once() {
+fn a_vm_that_seeks_peers_gets_a_reply_at_once() {
     let (site, _server, gateway) = start();
     let mut link = Link::open(peers(&site, &gateway), hello(PROTOCOL_VERSION, 1));
     let seek = VmUpdate {
         relation: SEEK,
-        record: Some(stranger(1)),
+        record: Some(peer_entry(1)),
         ..VmUpdate::default()
     };
     link.send(PeerPayload::Update(Box::new(seek)));
     assert!(matches!(link.next(), Some(PeerPayload::Hello(_))));
-    let Some(PeerPayload::Update(answer)) = link.next() else {
-        panic!("no update follows the greeting");
+    let Some(PeerPayload::Update(reply)) = link.next() else {
+        panic!("no update follows the hello");
     };
-    assert_eq!(answer.relation, REFERRAL);
-    assert!(answer.copy_is_whole && answer.copy_revision > 0);
-    let word = answer.word.unwrap();
-    let named = word.vms.iter().find(|vm| vm.name == "vm0").unwrap();
+    assert_eq!(reply.relation, REFERRAL);
+    assert!(reply.copy_is_whole && reply.copy_revision > 0);
+    let roster = reply.word.unwrap();
+    let named = roster.vms.iter().find(|vm| vm.name == "vm0").unwrap();
     assert!(named.ready && named.watches_store);
     link.send(PeerPayload::SnapshotRequest(SnapshotRequest::default()));
     let Some(PeerPayload::Snapshot(snapshot)) = link.next() else {
-        panic!("no copy of the store is given");
+        panic!("no copy of the store is sent");
     };
     assert_eq!(snapshot.items.len(), 2);
     assert!(snapshot.is_steady);
 }
 
 #[test]
-fn another_region_is_told_what_is_free_here() {
+fn another_region_receives_the_free_capacity() {
     let (site, _server, gateway) = start();
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let port = listener.local_addr().unwrap().port();
-    let _greeting = Link::open(peers(&site, &gateway), hello(PROTOCOL_VERSION, port));
+    let _dialled = Link::open(peers(&site, &gateway), hello(PROTOCOL_VERSION, port));
     let (stream, _) = listener.accept().unwrap();
-    let mut link = Link::over(stream);
+    let mut link = Link::from_stream(stream);
     assert!(matches!(link.next(), Some(PeerPayload::Hello(_))));
     link.send(hello(PROTOCOL_VERSION, port));
     let update = link.update(REGION);
@@ -143,11 +143,11 @@
 }
 
 #[test]
-fn a_peer_of_another_protocol_is_refused() {
+fn a_peer_with_another_protocol_version_is_rejected() {
     let site = Site::start(1);
     site.configure(1);
     let gateway = site.gateway(0);
     gateway.wait_ready();
     let mut link = Link::open(peers(&site, &gateway), hello(PROTOCOL_VERSION + 1, 1));
-    assert!(link.next().is_none(), "the link is closed without a word");
+    assert!(link.next().is_none(), "the link is closed without a reply");
 }
--- a/crates/gateway/tests/relay.rs
+++ b/crates/gateway/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Requests that another VM passes on: run here or refused, never passed on.
+//! Requests forwarded by another VM are run here or rejected, never forwarded again.
 
 mod support;
 
@@ -9,13 +9,13 @@
     name: &'static str,
     failing: ServerFault,
     homes: &'static str,
-    /// Whether a server answers, and what is told if not.
+    /// Verdict in the response; `None` if a server responds.
     verdict: Option<&'static str>,
     arrived: bool,
 }
 
 #[test]
-fn a_relayed_request_is_run_or_refused_with_a_true_verdict() {
+fn a_forwarded_request_is_run_or_rejected_with_a_correct_verdict() {
     let cases = [
         RelayCase {
             name: "served",
@@ -25,14 +25,14 @@
             arrived: true,
         },
         RelayCase {
-            name: "turned away by the server",
+            name: "rejected by the server",
             failing: ServerFault::Rejects,
             homes: "",
             verdict: Some("not-run"),
             arrived: true,
         },
         RelayCase {
-            name: "this region is no home",
+            name: "this region is not a home",
             failing: ServerFault::None,
             homes: "elsewhere",
             verdict: Some("not-run"),
@@ -46,7 +46,7 @@
             arrived: true,
         },
     ];
-    // A second region is there, so that passing on would be possible.
+    // The second region makes forwarding possible.
     let site = Site::start(2);
     let servers = [
         ServerStub::start(site.ip(0)).unwrap(),
@@ -64,16 +64,16 @@
         servers[0].set_fault(case.failing);
         let own = [("onyxfall-urgency", "3"), ("onyxfall-homes", case.homes)];
         let reply = relay(&gateways[0], "/once/x", "relayed", &own);
-        let told = |name: &str| reply.headers.get(name).map(|value| value.to_str().unwrap());
-        assert_eq!(told("onyxfall-verdict"), case.verdict, "{}", case.name);
+        let header = |name: &str| reply.headers.get(name).map(|value| value.to_str().unwrap());
+        assert_eq!(header("onyxfall-verdict"), case.verdict, "{}", case.name);
         if case.verdict.is_some() {
-            let arrived = told("onyxfall-arrived") == Some("1");
+            let arrived = header("onyxfall-arrived") == Some("1");
             assert_eq!(arrived, case.arrived, "{}: arrived", case.name);
         }
     }
     assert_eq!(
         servers[1].runs().len(),
         elsewhere,
-        "a relayed request was passed on"
+        "a forwarded request was forwarded again"
     );
 }
--- a/crates/gateway/tests/restored.rs
+++ b/crates/gateway/tests/restored.rs
@@ -1,5 +1,4 @@
-//! A store that comes back from an older copy loses what it had acknowledged, and gives
-//! its revisions out again.
+//! A store that is restored from a backup loses acknowledged writes and reuses their revisions.
 
 mod support;
 
@@ -11,12 +10,12 @@
 use onyxfall_fleet::ServerPhase;
 use support::{Gateway, Site, call, wait_for, wait_used};
 
-/// Changes after the copy, so that the store comes back with a much smaller revision.
+/// Number of changes after the backup, so that the restored store has a much smaller revision.
 const LATER_CHANGES: usize = 8;
-/// Time in which what was written after the copy is missing before it is written again.
-const MISSING: Duration = Duration::from_millis(1500);
+/// How long entries written after the backup are missing before they are written again.
+const MISSING_FOR: Duration = Duration::from_millis(1500);
 
-/// Versions that a gateway has brought into force, in order.
+/// Versions that a gateway has put into force, in order.
 fn versions(gateway: &Gateway) -> Vec<u64> {
     let log = gateway.log();
     let lines = log
@@ -39,15 +38,15 @@
     });
 }
 
-/// VMs and servers in use, and a store that has kept a copy of that.
-struct CopiedSite {
+/// Serving VMs and servers, and a store with a backup of that state.
+struct BackedUpSite {
     gateways: Vec<Gateway>,
     servers: Vec<ServerStub>,
-    // Dropped last: the addresses of the others are its.
+    // Dropped last, since the others use its addresses.
     site: Site,
 }
 
-impl CopiedSite {
+impl BackedUpSite {
     fn start(vms: u8, regions: usize, servers: usize) -> Self {
         let site = Site::start_in(vms, regions);
         let servers = site.start_servers(servers);
@@ -64,12 +63,12 @@
         }
     }
 
-    /// Changes something that means nothing.
-    fn change_much(&self) {
-        self.change_much_of("s0", &self.servers[0]);
+    /// Advances the revision of the store without changing any content.
+    fn advance_revision(&self) {
+        self.advance_revision_with("s0", &self.servers[0]);
     }
 
-    fn change_much_of(&self, name: &str, server: &ServerStub) {
+    fn advance_revision_with(&self, name: &str, server: &ServerStub) {
         for _ in 0..LATER_CHANGES {
             self.site.announce(name, server, 0);
         }
@@ -93,14 +92,14 @@
     let case = |name, vms, regions| RestoreCase { name, vms, regions };
     let cases = [
         case("one VM", 1, 1),
-        case("a VM that lives on the word of others", 4, 1),
+        case("VMs that get changes from other VMs", 4, 1),
         case("regions", 2, 2),
     ];
     thread::scope(|scope| {
         for case in &cases {
             scope.spawn(move || {
-                let site = CopiedSite::start(case.vms, case.regions, 1);
-                site.change_much();
+                let site = BackedUpSite::start(case.vms, case.regions, 1);
+                site.advance_revision();
                 site.site.configure(2);
                 site.wait_versions(2);
                 site.site.store.restore_snapshot();
@@ -115,11 +114,11 @@
     });
 }
 
-/// The copy names a server that is gone and lacks one that serves, until that one has
-/// written itself again.
+/// The backup lists a server that has gone and lacks one in service, until that one writes its
+/// entry again.
 #[test]
-fn servers_are_used_as_they_were_known_before_a_restore() {
-    let site = CopiedSite::start(1, 1, 2);
+fn servers_stay_as_they_were_before_a_restore() {
+    let site = BackedUpSite::start(1, 1, 2);
     let gateway = &site.gateways[0];
     let (old, new) = (
         &site.servers[0],
@@ -128,46 +127,46 @@
     site.site.announce("s9", &new, 0);
     wait_used("the new server to be used", gateway, &new);
     let draining = ServerPhase::Draining { left: None };
-    let leaving = &site.servers[1];
-    site.site.announce_as("s1", leaving.address(), 0, draining);
+    let drained = &site.servers[1];
+    site.site.announce_as("s1", drained.address(), 0, draining);
     site.site.retire("s0");
-    site.change_much_of("s9", &new);
+    site.advance_revision_with("s9", &new);
     wait_for("the new server to be used alone", || {
-        let before = (old.arrived() + leaving.arrived(), new.arrived() + 10);
+        let before = (old.arrived() + drained.arrived(), new.arrived() + 10);
         for number in 0..10 {
             call(gateway.callers(), "/repeat/x", &format!("alone{number}"));
         }
-        (old.arrived() + leaving.arrived(), new.arrived()) == before
+        (old.arrived() + drained.arrived(), new.arrived()) == before
     });
-    let before = old.arrived() + leaving.arrived();
+    let before = old.arrived() + drained.arrived();
     site.site.store.restore_snapshot();
-    wait_for("the gateway to hear of it", || {
+    wait_for("the gateway to detect the restore", || {
         gateway.log().contains("store was restored")
     });
-    let ask = |when: &str, count: usize| {
+    let send = |when: &str, count: usize| {
         for number in 0..count {
             let reply = call(gateway.callers(), "/repeat/x", &format!("{when}{number}")).unwrap();
             assert_eq!(reply.status, StatusCode::OK, "{when}");
         }
     };
-    ask("restored", 30);
-    thread::sleep(MISSING);
-    ask("missing", 30);
+    send("restored", 30);
+    thread::sleep(MISSING_FOR);
+    send("missing", 30);
     site.site.announce("s9", &new, 0);
-    site.site.announce_as("s1", leaving.address(), 0, draining);
-    thread::sleep(MISSING);
-    ask("written again", 30);
+    site.site.announce_as("s1", drained.address(), 0, draining);
+    thread::sleep(MISSING_FOR);
+    send("written again", 30);
     assert_eq!(
-        old.arrived() + leaving.arrived(),
+        old.arrived() + drained.arrived(),
         before,
-        "gone and leaving servers got work"
+        "removed and draining servers received requests"
     );
 }
 
-/// A server whose entry had gone by itself shortly before writes itself again.
+/// A server whose entry was removed shortly before the restore writes its entry again.
 #[test]
-fn a_server_that_writes_itself_again_after_a_restore_is_used() {
-    let site = CopiedSite::start(1, 1, 2);
+fn a_server_that_writes_its_entry_again_after_a_restore_is_used() {
+    let site = BackedUpSite::start(1, 1, 2);
     let server = &site.servers[0];
     site.site.retire("s0");
     wait_for("the other server to be used alone", || {
@@ -182,6 +181,6 @@
         server.arrived() == before
     });
     site.site.store.restore_snapshot();
-    site.change_much();
+    site.advance_revision();
     wait_used("the server to be used again", &site.gateways[0], server);
 }
--- a/crates/gateway/tests/rollouts.rs
+++ b/crates/gateway/tests/rollouts.rs
@@ -1,5 +1,5 @@
-//! Roll-outs by real gateways: few requests reach a version that is not proved, a bad one
-//! is given up, a good one takes over, and the store's record says so.
+//! Rollouts with real gateways: few requests reach an unproven version, a bad version is
+//! aborted, a good one takes over, and the store's record shows it.
 
 mod support;
 
@@ -13,19 +13,19 @@
 
 const OLD: &str = "v1";
 const NEW: &str = "v2";
-/// Time that an order gives; long enough for a busy machine.
-const SECONDS: f64 = 12.0;
+/// Duration of an order, long enough for a busy machine.
+const ORDER_SECONDS: f64 = 12.0;
 
 struct RolloutSite {
     gateways: Vec<Gateway>,
     old: Vec<ServerStub>,
     new: Vec<ServerStub>,
     site: Site,
-    asked: usize,
+    requests: usize,
 }
 
 impl RolloutSite {
-    /// VMs of one region with servers of the old version.
+    /// Starts VMs of one region with servers of the old version.
     fn start(vms: u8) -> Self {
         let site = Site::start_in(vms, 1);
         let mut started = Self {
@@ -33,7 +33,7 @@
             old: Vec::new(),
             new: Vec::new(),
             site,
-            asked: 0,
+            requests: 0,
         };
         started.old = started.add_servers(OLD);
         started.site.configure(1);
@@ -61,16 +61,16 @@
         self.site.put(&entry);
     }
 
-    /// Lets the servers of the new version write their entries again.
+    /// Writes the entries of the new version's servers again.
     fn announce_new(&self) {
         for (number, server) in self.new.iter().enumerate() {
             self.announce(NEW, number, server);
         }
     }
 
-    /// Orders the new version and starts its servers.
+    /// Writes the order of the new version and starts its servers.
     fn order(&mut self, failing: ServerFault) {
-        let body = order_body(SERVICE, NEW, SECONDS);
+        let body = order_body(SERVICE, NEW, ORDER_SECONDS);
         self.site.store.put(&order_key(SERVICE), body);
         self.new = self.add_servers(NEW);
         for server in &self.new {
@@ -85,18 +85,18 @@
     fn wait_state(&mut self, state: &str) {
         let wanted = Some((state.to_owned(), NEW.to_owned()));
         wait_for(state, || {
-            self.ask(10);
+            self.send(10);
             self.status() == wanted
         });
     }
 
-    /// Sends requests; how many there were of each status.
-    fn ask(&mut self, count: usize) -> BTreeMap<u16, usize> {
+    /// Sends requests. Returns the number of responses by status.
+    fn send(&mut self, count: usize) -> BTreeMap<u16, usize> {
         let mut statuses = BTreeMap::new();
         for _ in 0..count {
-            self.asked += 1;
-            let gateway = &self.gateways[self.asked % self.gateways.len()];
-            let id = format!("asked{}", self.asked);
+            self.requests += 1;
+            let gateway = &self.gateways[self.requests % self.gateways.len()];
+            let id = format!("asked{}", self.requests);
             let reply = call(gateway.callers(), "/repeat/x", &id);
             let status = reply.map_or(0, |reply| reply.status.as_u16());
             *statuses.entry(status).or_default() += 1;
@@ -108,9 +108,8 @@
         servers.iter().map(ServerStub::arrived).sum()
     }
 
-    /// Part of the requests that have reached the new version since there were `old` at
-    /// the old one.
-    fn new_part(&self, old: usize) -> f64 {
+    /// Share of requests that reached the new version since the old one had received `old`.
+    fn new_share(&self, old: usize) -> f64 {
         let new = Self::arrived(&self.new) as f64;
         let old = (Self::arrived(&self.old) - old) as f64;
         new / (new + old).max(1.0)
@@ -118,17 +117,20 @@
 }
 
 #[test]
-fn a_bad_version_is_given_up_and_gets_nothing_more() {
+fn a_bad_version_is_aborted_and_gets_no_more_requests() {
     let mut site = RolloutSite::start(2);
     site.order(ServerFault::Fails);
     let old = RolloutSite::arrived(&site.old);
     site.wait_state("rolled_back");
-    assert!(RolloutSite::arrived(&site.new) > 0, "it was tried");
-    let part = site.new_part(old);
-    assert!(part <= 0.1, "{part} of all requests reached it");
-    site.ask(20);
+    assert!(
+        RolloutSite::arrived(&site.new) > 0,
+        "the new version got requests"
+    );
+    let share = site.new_share(old);
+    assert!(share <= 0.1, "{share} of all requests reached it");
+    site.send(20);
     let before = RolloutSite::arrived(&site.new);
-    let statuses = site.ask(100);
+    let statuses = site.send(100);
     assert_eq!(RolloutSite::arrived(&site.new), before);
     assert_eq!(statuses.get(&StatusCode::OK.as_u16()), Some(&100));
 }
@@ -140,40 +142,44 @@
     site.wait_state("running");
     site.wait_state("completed");
     let before = RolloutSite::arrived(&site.old);
-    let statuses = site.ask(50);
-    assert_eq!(RolloutSite::arrived(&site.old), before, "old servers stop");
+    let statuses = site.send(50);
+    assert_eq!(
+        RolloutSite::arrived(&site.old),
+        before,
+        "old servers get no more requests"
+    );
     assert_eq!(statuses.get(&StatusCode::OK.as_u16()), Some(&50));
 }
 
 #[test]
-fn an_order_that_is_taken_back_is_rolled_back() {
+fn a_withdrawn_order_is_rolled_back() {
     let mut site = RolloutSite::start(2);
     site.order(ServerFault::None);
     site.wait_state("running");
     site.site.store.delete(&order_key(SERVICE));
     site.wait_state("rolled_back");
-    site.ask(10);
+    site.send(10);
     let before = RolloutSite::arrived(&site.new);
-    site.ask(60);
+    site.send(60);
     assert_eq!(RolloutSite::arrived(&site.new), before);
 }
 
 #[test]
-fn an_order_written_anew_is_a_new_roll_out() {
+fn an_order_written_again_starts_a_new_rollout() {
     let mut site = RolloutSite::start(2);
     site.order(ServerFault::Fails);
     site.wait_state("rolled_back");
     for server in &site.new {
         server.set_fault(ServerFault::None);
     }
-    let body = order_body(SERVICE, NEW, SECONDS);
+    let body = order_body(SERVICE, NEW, ORDER_SECONDS);
     site.site.store.put(&order_key(SERVICE), body);
     site.wait_state("running");
     site.wait_state("completed");
 }
 
 #[test]
-fn a_lost_answer_of_a_write_does_not_hold_a_roll_out() {
+fn a_lost_response_to_a_write_does_not_stall_a_rollout() {
     let mut site = RolloutSite::start(2);
     site.site.store.drop_write_responses(2);
     site.order(ServerFault::Fails);
@@ -181,23 +187,23 @@
 }
 
 #[test]
-fn vms_close_a_bad_version_while_the_store_is_away() {
+fn vms_close_a_bad_version_while_the_store_is_unavailable() {
     let mut site = RolloutSite::start(2);
     site.order(ServerFault::Fails);
-    wait_for("both VMs to send a sample", || {
+    wait_for("both VMs to send canary requests", || {
         site.gateways
             .iter()
             .all(|gateway| gateway.log().contains("\"phase\":\"sampling\""))
     });
     site.site.store.set_mode(StoreMode::Refusing);
-    wait_for("both VMs to give the version up", || {
-        site.ask(10);
+    wait_for("both VMs to abort the version", || {
+        site.send(10);
         site.gateways
             .iter()
             .all(|gateway| gateway.log().contains("version is given up"))
     });
     let before = RolloutSite::arrived(&site.new);
-    site.ask(60);
+    site.send(60);
     assert_eq!(RolloutSite::arrived(&site.new), before);
     site.site.store.set_mode(StoreMode::Normal);
     site.wait_state("rolled_back");
@@ -227,7 +233,7 @@
 }
 
 #[test]
-fn orders_that_make_no_sense_move_nothing() {
+fn invalid_orders_have_no_effect() {
     let cases = [
         BadOrder {
             name: "no JSON",
@@ -280,7 +286,7 @@
             log.contains("item not understood") || log.contains("no such service")
         });
         let old = RolloutSite::arrived(&site.old);
-        let statuses = site.ask(40);
+        let statuses = site.send(40);
         assert_eq!(
             statuses.get(&StatusCode::OK.as_u16()),
             Some(&40),
@@ -294,74 +300,77 @@
 }
 
 #[test]
-fn the_present_version_needs_no_roll_out() {
+fn the_current_version_needs_no_rollout() {
     let mut site = RolloutSite::start(1);
-    let body = order_body(SERVICE, OLD, SECONDS);
+    let body = order_body(SERVICE, OLD, ORDER_SECONDS);
     site.site.store.put(&order_key(SERVICE), body);
     let completed = Some(("completed".to_owned(), OLD.to_owned()));
     wait_for("the record", || site.status() == completed);
-    let statuses = site.ask(40);
+    let statuses = site.send(40);
     assert_eq!(statuses.get(&StatusCode::OK.as_u16()), Some(&40));
 }
 
 #[test]
-fn a_vm_that_hears_nobody_tries_no_new_version() {
+fn an_isolated_vm_sends_nothing_to_a_new_version() {
     let mut site = RolloutSite::start(2);
     site.gateways.truncate(1);
     std::thread::sleep(Duration::from_secs(3));
     site.order(ServerFault::None);
     site.wait_state("running");
-    site.ask(100);
+    site.send(100);
     assert_eq!(RolloutSite::arrived(&site.new), 0);
 }
 
-/// When the copy was made that the store comes back from.
+/// When the backup was made that the store is restored from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CopyMoment {
+enum BackupTime {
     BeforeOrder,
     WhileRunning,
     AfterEnd,
 }
 
-/// What the store has lost is written again: the order by the operator, entries by the
+/// After the restore the lost data is written again: the order by the operator, entries by the
 /// servers, the record by the VMs.
 #[test]
-fn a_version_that_was_given_up_stays_so_after_a_restore() {
-    let moments = [
-        CopyMoment::BeforeOrder,
-        CopyMoment::WhileRunning,
-        CopyMoment::AfterEnd,
+fn an_aborted_version_stays_aborted_after_a_restore() {
+    let times = [
+        BackupTime::BeforeOrder,
+        BackupTime::WhileRunning,
+        BackupTime::AfterEnd,
     ];
     std::thread::scope(|scope| {
-        for moment in moments {
+        for time in times {
             scope.spawn(move || {
                 let mut site = RolloutSite::start(2);
-                let keep = |site: &RolloutSite, now: CopyMoment| {
-                    if now == moment {
+                let keep = |site: &RolloutSite, now: BackupTime| {
+                    if now == time {
                         site.site.store.save_snapshot();
                     }
                 };
-                keep(&site, CopyMoment::BeforeOrder);
+                keep(&site, BackupTime::BeforeOrder);
                 site.order(ServerFault::None);
                 site.wait_state("running");
-                keep(&site, CopyMoment::WhileRunning);
+                keep(&site, BackupTime::WhileRunning);
                 for server in &site.new {
                     server.set_fault(ServerFault::Fails);
                 }
                 site.wait_state("rolled_back");
-                site.ask(20);
-                keep(&site, CopyMoment::AfterEnd);
+                site.send(20);
+                keep(&site, BackupTime::AfterEnd);
                 let before = RolloutSite::arrived(&site.new);
                 site.site.store.restore_snapshot();
-                if moment == CopyMoment::BeforeOrder {
+                if time == BackupTime::BeforeOrder {
                     site.announce_new();
-                    let body = order_body(SERVICE, NEW, SECONDS);
+                    let body = order_body(SERVICE, NEW, ORDER_SECONDS);
                     site.site.store.put(&order_key(SERVICE), body);
                 }
                 site.wait_state("rolled_back");
-                site.ask(60);
+                site.send(60);
                 let after = RolloutSite::arrived(&site.new);
-                assert_eq!(after, before, "{moment:?}: it got requests again");
+                assert_eq!(
+                    after, before,
+                    "{time:?}: the aborted version got requests again"
+                );
             });
         }
     });
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -1,9 +1,9 @@
-//! Settings are checked before anything starts.
+//! Settings are validated before anything starts.
 
 use std::fs;
 use std::process::Command;
 
-const USUAL: &str = "\
+const BASE_SETTINGS: &str = "\
 [vm]
 name = vm1
 center = c1
@@ -25,36 +25,36 @@
     name: &'static str,
     decisions: &'static str,
     passes: bool,
-    /// What must be said.
-    said: &'static [&'static str],
+    /// Parts that the output must contain.
+    output: &'static [&'static str],
 }
 
 #[test]
-fn mechanisms_are_named_or_refused() {
+fn decision_settings_are_validated() {
     let cases = [
         SettingsCase {
             name: "no section",
             decisions: "",
             passes: true,
-            said: &["no fault; policy expected\n"],
+            output: &["no fault; policy expected\n"],
         },
         SettingsCase {
             name: "two mechanisms off",
             decisions: "[decisions]\noff = send-away, prefix-spill\n",
             passes: true,
-            said: &["policy expected, off: prefix-spill, send-away\n"],
+            output: &["policy expected, off: prefix-spill, send-away\n"],
         },
         SettingsCase {
             name: "a baseline",
             decisions: "[decisions]\npolicy = round-robin\n",
             passes: true,
-            said: &["policy round-robin\n"],
+            output: &["policy round-robin\n"],
         },
         SettingsCase {
             name: "an unknown mechanism",
             decisions: "[decisions]\noff = prefix-spil\n",
             passes: false,
-            said: &[
+            output: &[
                 "gateway.ini:17",
                 "unknown mechanism `prefix-spil`",
                 "prefix-spill,",
@@ -64,7 +64,7 @@
             name: "an unknown policy",
             decisions: "[decisions]\npolicy = best\n",
             passes: false,
-            said: &[
+            output: &[
                 "gateway.ini:17",
                 "unknown policy `best`",
                 "expected, local-only",
@@ -74,7 +74,7 @@
             name: "an unknown key",
             decisions: "[decisions]\non = send-away\n",
             passes: false,
-            said: &["unknown key `on`"],
+            output: &["unknown key `on`"],
         },
     ];
     for (number, case) in cases.iter().enumerate() {
@@ -82,7 +82,7 @@
         let dir = dir.join(format!("onyxfall-settings-{}-{number}", std::process::id()));
         fs::create_dir_all(&dir).unwrap();
         let path = dir.join("gateway.ini");
-        fs::write(&path, format!("{USUAL}{}", case.decisions)).unwrap();
+        fs::write(&path, format!("{BASE_SETTINGS}{}", case.decisions)).unwrap();
         let checked = Command::new(env!("CARGO_BIN_EXE_onyxfall-gateway"))
             .arg("--settings")
             .arg(&path)
@@ -90,16 +90,16 @@
             .output()
             .unwrap();
         fs::remove_dir_all(&dir).unwrap();
-        let said = [checked.stdout, checked.stderr].concat();
-        let said = String::from_utf8(said).unwrap();
+        let output = [checked.stdout, checked.stderr].concat();
+        let output = String::from_utf8(output).unwrap();
         assert_eq!(
             checked.status.success(),
             case.passes,
-            "{}: {said}",
+            "{}: {output}",
             case.name
         );
-        for part in case.said {
-            assert!(said.contains(part), "{}: `{part}` in {said}", case.name);
+        for part in case.output {
+            assert!(output.contains(part), "{}: `{part}` in {output}", case.name);
         }
     }
 }
--- a/crates/gateway/tests/stop.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The planned stop, settings that change, and settings that are wrong.
+//! Graceful shutdown, settings reload, and invalid settings.
 
 mod support;
 
@@ -8,14 +8,14 @@
 use support::{ServingSite, call, wait_for};
 
 #[test]
-fn a_stopping_gateway_is_not_ready_but_serves_and_ends_cleanly() {
+fn a_gateway_in_shutdown_is_not_ready_but_serves_and_ends_cleanly() {
     let ServingSite {
         mut gateway,
         server: _server,
         site: _site,
     } = ServingSite::start();
     gateway.signal("-TERM");
-    wait_for("the gateway to say that it leaves", || !gateway.is_ready());
+    wait_for("the gateway to report not ready", || !gateway.is_ready());
     let reply = call(gateway.callers(), "/once/x", "late").unwrap();
     assert_eq!(reply.status.as_u16(), 200);
     let status = gateway.child.wait().unwrap();
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_hangup_cuts_nothing() {
+fn a_reload_interrupts_no_request() {
     let ServingSite {
         gateway,
         server: _server,
@@ -39,27 +39,27 @@
 struct SettingsCase {
     name: &'static str,
     text: &'static str,
-    said: &'static str,
+    expected: &'static str,
 }
 
 #[test]
-fn wrong_settings_are_named_with_their_line() {
+fn invalid_settings_are_reported_with_their_line() {
     let cases = [
         SettingsCase {
             name: "a missing section",
             text: "[vm]\nname = a\ncenter = c\n",
-            said: "listen",
+            expected: "listen",
         },
         SettingsCase {
-            name: "an address that is none",
+            name: "an invalid address",
             text: "[vm]\nname = a\ncenter = c\n[center c]\nregion = r\n\
                    [listen]\ncallers = here\n",
-            said: ":7:",
+            expected: ":7:",
         },
         SettingsCase {
             name: "a data centre without a section",
             text: "[vm]\nname = a\ncenter = c\n",
-            said: "[center]",
+            expected: "[center]",
         },
     ];
     for (number, case) in cases.iter().enumerate() {
@@ -72,19 +72,19 @@
             .output()
             .unwrap();
         std::fs::remove_file(&file).unwrap();
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{}", case.name);
-        assert!(said.contains(case.said), "{}: {said}", case.name);
+        assert!(stderr.contains(case.expected), "{}: {stderr}", case.name);
     }
 }
 
 #[test]
-fn stand_ins_leave_a_gateways_ports_free() {
+fn stubs_do_not_use_the_address_of_a_gateway() {
     let ServingSite {
         gateway,
         server,
         site,
     } = ServingSite::start();
-    let stand_ins = [server.address().ip(), site.store.address().ip(), site.ip(0)];
-    assert!(!stand_ins.contains(&std::net::IpAddr::V4(gateway.ip)));
+    let stub_ips = [server.address().ip(), site.store.address().ip(), site.ip(0)];
+    assert!(!stub_ips.contains(&std::net::IpAddr::V4(gateway.ip)));
 }
--- a/crates/gateway/tests/store.rs
+++ b/crates/gateway/tests/store.rs
@@ -1,4 +1,5 @@
-//! Configuration and servers from the store, from peers, and through outages.
+//! Configuration and servers are read from the store or from peers, and survive outages of the
+//! store.
 
 mod support;
 
@@ -33,7 +34,8 @@
     } = ServingSite::start_at(5);
     let older = onyxfall_adapter::stub::document_body(4, &[], &[]);
     site.store.put(config_key(), older);
-    // Later items are seen after the older configuration was.
+    // The gateway reads items in order: use of this server shows that the older configuration
+    // was read.
     let second = ServerStub::start(site.ip(0)).unwrap();
     site.announce("s1", &second, 0);
     let draining = ServerPhase::Draining { left: None };
@@ -51,28 +53,28 @@
 }
 
 #[test]
-fn a_leaving_server_gets_nothing_more() {
+fn a_draining_server_gets_no_more_requests() {
     let site = Site::start(1);
-    let leaving = ServerStub::start(site.ip(0)).unwrap();
+    let drained = ServerStub::start(site.ip(0)).unwrap();
     let staying = ServerStub::start(site.ip(0)).unwrap();
-    site.announce("s0", &leaving, 0);
+    site.announce("s0", &drained, 0);
     site.configure(1);
     let gateway = site.gateway(0);
     gateway.wait_served();
     site.announce("s1", &staying, 0);
     let draining = ServerPhase::Draining { left: None };
-    site.announce_as("s0", leaving.address(), 0, draining);
+    site.announce_as("s0", drained.address(), 0, draining);
     wait_for("the staying server to be used alone", || {
-        let (left, stayed) = (leaving.runs().len(), staying.runs().len());
+        let (left, stayed) = (drained.runs().len(), staying.runs().len());
         for number in 0..10 {
             call(gateway.callers(), "/once/x", &format!("d{number}")).unwrap();
         }
-        leaving.runs().len() == left && staying.runs().len() == stayed + 10
+        drained.runs().len() == left && staying.runs().len() == stayed + 10
     });
 }
 
 #[test]
-fn history_that_is_gone_is_read_anew() {
+fn a_discarded_history_is_read_again() {
     let ServingSite {
         gateway,
         server: _server,
@@ -91,7 +93,7 @@
 }
 
 #[test]
-fn a_gateway_serves_on_while_the_store_is_away() {
+fn a_gateway_keeps_serving_while_the_store_is_unavailable() {
     let ServingSite {
         gateway,
         server: _server,
@@ -105,17 +107,17 @@
 }
 
 #[test]
-fn a_gateway_without_the_store_takes_its_peers_copy() {
+fn a_gateway_without_the_store_gets_a_copy_from_its_peer() {
     let site = Site::start(2);
     let server = ServerStub::start(site.ip(0)).unwrap();
     site.announce("s0", &server, 0);
     site.configure(1);
     let first = site.gateway(0);
     first.wait_served();
-    let nowhere = std::net::TcpListener::bind((site.ip(1), 0)).unwrap();
-    let second = site.gateway_with_store(1, nowhere.local_addr().unwrap());
+    let unreachable = std::net::TcpListener::bind((site.ip(1), 0)).unwrap();
+    let second = site.gateway_with_store(1, unreachable.local_addr().unwrap());
     second.wait_ready();
-    // The server is in the other region, so that the request is passed on.
+    // The server is in the other region, so the request is forwarded.
     second.wait_served();
     assert!(server.runs().len() >= 2);
 }
@@ -130,7 +132,7 @@
     for gateway in &gateways {
         gateway.wait_served();
     }
-    let ask = |vm: usize, center: &str| {
+    let resolve = |vm: usize, center: &str| {
         let path = onyxfall_adapter::RESOLVE_PATH;
         let query = format!("{path}?Name=a.example&Region=none&Zone={center}");
         get(gateways[vm].directory(), &query)
@@ -142,7 +144,7 @@
         let address = gateways[named].callers().to_string();
         for vm in 0..2 {
             wait_for("the near VM to be named alone", || {
-                ask(vm, center).contains(&format!("[\"{address}\"]"))
+                resolve(vm, center).contains(&format!("[\"{address}\"]"))
             });
         }
     }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small site of stand-ins around real gateway processes, each on loopback
+//! A small test site: real gateway processes and in-process stubs, each on loopback
 //! addresses of its own.
 #![allow(dead_code)]
 
@@ -35,18 +35,19 @@
     token_bytes: 1000,
     keeps_backups: true,
 };
-/// Longest time for a site to get ready; generous, since machines are shared.
+/// Longest time for a site to become ready. It is generous because test machines are
+/// shared.
 const READY_LIMIT: Duration = Duration::from_secs(20);
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const CALL_LIMIT: Duration = Duration::from_secs(20);
 
 static NEXT_SITE: AtomicU32 = AtomicU32::new(1);
-/// Held while ports are looked for and while a process is started: a child holds
-/// its parent's listeners until it runs its program, so that a port just given
-/// back could still be taken when its gateway wants it.
+/// Held while ports are probed and while a process is started. A child process holds its
+/// parent's listening sockets until it executes its program, so a port that was just closed
+/// could still be in use when its gateway binds it.
 static SPAWNING: Mutex<()> = Mutex::new(());
 
-/// Ports of a gateway; the same on every VM of a site.
+/// Ports of a gateway, the same on every VM of a site.
 #[derive(Clone, Copy, Debug)]
 pub struct Ports {
     pub callers: u16,
@@ -56,7 +57,7 @@
     pub relay: u16,
 }
 
-/// Loopback addresses that no other test uses, and ports that are free on them.
+/// A site on loopback addresses that no other test uses, with ports that are free on them.
 pub struct Site {
     pub store: StoreStub,
     pub ports: Ports,
@@ -73,12 +74,13 @@
 }
 
 impl Site {
-    /// VMs with a region each.
+    /// Starts a site with `vms` VMs, each in a region of its own.
     pub fn start(vms: u8) -> Self {
         Self::start_in(vms, usize::from(vms))
     }
 
-    /// VMs with a data centre each, in turn one of each region.
+    /// Starts a site with `vms` VMs, each in a data centre of its own. The data centres are
+    /// assigned to the regions in turn.
     pub fn start_in(vms: u8, regions: usize) -> Self {
         let number = NEXT_SITE.fetch_add(1, Ordering::SeqCst);
         let process = std::process::id();
@@ -87,7 +89,7 @@
         let ips: Vec<Ipv4Addr> = (0..vms)
             .map(|vm| Ipv4Addr::new(127, 64 + (high % 64), low, base + vm + 1))
             .collect();
-        let store = StoreStub::start(stand_in_ip(ips[0])).unwrap();
+        let store = StoreStub::start(stub_ip(ips[0])).unwrap();
         let dir = std::env::temp_dir().join(format!("onyxfall-test-{process}-{number}"));
         fs::create_dir_all(&dir).unwrap();
         let ports = free_ports(&ips);
@@ -100,19 +102,19 @@
         }
     }
 
-    /// Where stand-ins of a VM's data centre listen: never on the VM's own
-    /// address, since the ports found free there must stay so until it starts.
+    /// Address on which the stubs of a VM's data centre listen. It differs from the VM's own
+    /// address, so that the ports found free there stay free until the gateway starts.
     pub fn ip(&self, vm: usize) -> IpAddr {
-        stand_in_ip(self.ips[vm])
+        stub_ip(self.ips[vm])
     }
 
-    /// Writes the configuration with every kind of route.
+    /// Writes a configuration with every kind of route.
     pub fn configure(&self, version: u64) {
         let body = Self::with_routes(|routes, services| document_body(version, routes, services));
         self.store.put(config_key(), body);
     }
 
-    /// The same with teams, and a route below `/public/` that needs no key.
+    /// Writes the same configuration with teams, and a route below `/public/` that needs no key.
     pub fn configure_teams(&self, version: u64, teams: &[TeamText<'_>]) {
         let body = Self::with_routes(|routes, services| {
             document_with_teams(version, routes, services, teams)
@@ -157,7 +159,7 @@
         write(&routes, &services)
     }
 
-    /// Starts and announces servers of the first VM's data centre, `s0` and on.
+    /// Starts and announces servers `s0`, `s1` and so on in the first VM's data centre.
     pub fn start_servers(&self, count: usize) -> Vec<ServerStub> {
         let start = |number| {
             let server = ServerStub::start(self.ip(0)).unwrap();
@@ -167,13 +169,13 @@
         (0..count).map(start).collect()
     }
 
-    /// Writes an entry.
+    /// Writes the store entry of a server.
     pub fn put(&self, record: &ServerRecord) {
         let key = server_key(record.name.as_str());
         self.store.put(&key, server_body(record));
     }
 
-    /// Announces a server of the data centre of a VM.
+    /// Announces a server in the data centre of a VM.
     pub fn announce(&self, name: &str, server: &ServerStub, vm: usize) {
         self.announce_as(name, server.address(), vm, ServerPhase::Ready);
     }
@@ -182,12 +184,12 @@
         self.announce_of(SERVICE, name, address, vm, phase);
     }
 
-    /// Takes a server's entry away.
+    /// Deletes the store entry of a server.
     pub fn retire(&self, name: &str) {
         self.store.delete(&server_key(name));
     }
 
-    /// Announces a model server of the data centre of a VM.
+    /// Announces a model server in the data centre of a VM.
     pub fn announce_model(&self, name: &str, server: &ServerStub, vm: usize) {
         self.announce_of(MODELS, name, server.address(), vm, ServerPhase::Ready);
     }
@@ -237,7 +239,7 @@
         }
     }
 
-    /// Moves the clock of a VM on, by its settings; taken with the next reload.
+    /// Sets the clock of a VM ahead through its settings; applied at the next reload.
     pub fn move_clock(&self, vm: usize, ahead: Duration) {
         let file = self.dir.join(format!("vm{vm}.ini"));
         let mut text = self.settings(vm, self.store.address());
@@ -279,9 +281,9 @@
     }
 }
 
-/// A site of one VM that serves, with one server.
+/// A site with one gateway and one server, ready to serve.
 pub struct ServingSite {
-    // Fields drop in order: the gateway first, its surroundings after it.
+    // Fields drop in order: the gateway before what it depends on.
     pub gateway: Gateway,
     pub server: ServerStub,
     pub site: Site,
@@ -292,7 +294,7 @@
         Self::start_at(1)
     }
 
-    /// With the configuration at `version`.
+    /// Starts a site whose configuration has the given version.
     pub fn start_at(version: u64) -> Self {
         let site = Site::start(1);
         let server = ServerStub::start(site.ip(0)).unwrap();
@@ -308,36 +310,36 @@
     }
 }
 
-fn stand_in_ip(vm: Ipv4Addr) -> IpAddr {
+fn stub_ip(vm: Ipv4Addr) -> IpAddr {
     let [net, second, third, fourth] = vm.octets();
     IpAddr::V4(Ipv4Addr::new(net, second + 64, third, fourth))
 }
 
 fn spawn(command: &mut Command) -> Child {
-    let _alone = SPAWNING.lock().unwrap_or_else(PoisonError::into_inner);
+    let _guard = SPAWNING.lock().unwrap_or_else(PoisonError::into_inner);
     command.spawn().unwrap()
 }
 
 fn free_ports(ips: &[Ipv4Addr]) -> Ports {
-    let _alone = SPAWNING.lock().unwrap_or_else(PoisonError::into_inner);
-    let mut found = Vec::new();
-    while found.len() < 5 {
+    let _guard = SPAWNING.lock().unwrap_or_else(PoisonError::into_inner);
+    let mut free = Vec::new();
+    while free.len() < 5 {
         let probe = TcpListener::bind((ips[0], 0)).unwrap();
         let port = probe.local_addr().unwrap().port();
         let others: Vec<_> = ips[1..]
             .iter()
             .map(|ip| TcpListener::bind((*ip, port)))
             .collect();
-        if others.iter().all(Result::is_ok) && !found.contains(&port) {
-            found.push(port);
+        if others.iter().all(Result::is_ok) && !free.contains(&port) {
+            free.push(port);
         }
     }
     Ports {
-        callers: found[0],
-        ready: found[1],
-        directory: found[2],
-        peers: found[3],
-        relay: found[4],
+        callers: free[0],
+        ready: free[1],
+        directory: free[2],
+        peers: free[3],
+        relay: free[4],
     }
 }
 
@@ -371,7 +373,7 @@
         });
     }
 
-    /// What it has logged so far.
+    /// Returns what the gateway has logged so far.
     pub fn log(&self) -> String {
         fs::read_to_string(&self.log).unwrap()
     }
@@ -405,18 +407,18 @@
 pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
     let until = Instant::now() + READY_LIMIT;
     while !done() {
-        assert!(Instant::now() < until, "waited in vain for {what}");
-        thread::sleep(LOOK);
+        assert!(Instant::now() < until, "timed out waiting for {what}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// An answer as a caller sees it.
+/// A response as received by a caller.
 #[derive(Debug)]
 pub struct Reply {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Bytes,
-    /// Whether the body broke off.
+    /// Whether the connection was lost during the body.
     pub broken: bool,
 }
 
@@ -426,12 +428,12 @@
     }
 }
 
-/// Sends a request as a caller does; none if the connection brought no answer.
+/// Sends a request as a caller. Returns `None` if the connection brought no response.
 pub fn call(address: SocketAddr, path: &str, id: &str) -> Option<Reply> {
     call_from(Ipv4Addr::LOCALHOST, address, path, id, b"body")
 }
 
-/// The same with a body of its own, from an address of its own.
+/// Sends a request with the given body from the given address.
 pub fn call_from(
     from: Ipv4Addr,
     address: SocketAddr,
@@ -444,7 +446,7 @@
     send_from(from, address, Method::POST, path, headers, body)
 }
 
-/// What a server of the first VM's data centre writes of itself.
+/// Store entry of a server in the first VM's data centre.
 pub fn record(name: &str, server: &ServerStub, born: u64) -> ServerRecord {
     ServerRecord {
         name: name.parse().unwrap(),
@@ -459,7 +461,7 @@
     }
 }
 
-/// Sends a request as a VM of another region passes it on, with a goal of 0.4 s.
+/// Sends a request as forwarded by a VM of another region, with a goal of 0.4 s.
 pub fn relay(
     gateway: &Gateway,
     path: &str,
@@ -467,12 +469,12 @@
     own: &[(&'static str, &'static str)],
 ) -> Reply {
     let mut headers = caller_headers(HOST, id, Duration::from_secs(3));
-    let usual = [
+    let default = [
         ("onyxfall-vm", "vm9"),
         ("onyxfall-service", SERVICE),
         ("onyxfall-goal-ms", "400"),
     ];
-    for (name, value) in usual.iter().chain(own) {
+    for (name, value) in default.iter().chain(own) {
         headers.insert(*name, HeaderValue::from_static(value));
     }
     let address = SocketAddr::new(IpAddr::V4(gateway.ip), gateway.ports.relay);
@@ -480,13 +482,13 @@
     send(address, Method::POST, path, headers, body).unwrap()
 }
 
-/// Sends requests to a gateway until one reaches a server.
+/// Sends requests to a gateway until one reaches `server`.
 pub fn wait_used(what: &str, gateway: &Gateway, server: &ServerStub) {
     let before = server.arrived();
-    let mut asked = 0;
+    let mut attempts = 0;
     wait_for(what, || {
-        asked += 1;
-        call(gateway.callers(), "/repeat/x", &format!("{what}{asked}"));
+        attempts += 1;
+        call(gateway.callers(), "/repeat/x", &format!("{what}{attempts}"));
         server.arrived() > before
     });
 }
@@ -523,8 +525,8 @@
     runtime().block_on(async {
         let sent = tokio::time::timeout(CALL_LIMIT, async {
             let socket = TcpSocket::new_v4().unwrap();
-            // A bound port is taken from all connections that have just ended, whoever they
-            // went to; one that is chosen on connecting only from those to this address.
+            // An explicitly bound port must not be in use by any recently closed connection. A
+            // port chosen on connect must only be unused by those to the same address.
             if from != Ipv4Addr::LOCALHOST {
                 socket.bind((from, 0).into()).unwrap();
             }
@@ -553,6 +555,6 @@
                 broken,
             })
         });
-        sent.await.expect("a call took too long")
+        sent.await.expect("a call timed out")
     })
 }
--- a/crates/gateway/tests/suspension.rs
+++ b/crates/gateway/tests/suspension.rs
@@ -1,10 +1,10 @@
-//! A VM that was suspended knows it before it goes on.
+//! A VM that was suspended detects it before it continues.
 //!
-//! The steady clock stands still during a suspension, so that everything looks as fresh as
-//! before: requests whose callers have gone, members, connections. Ages are therefore
-//! counted by a clock that goes on. A suspension needs rights that tests do not have; here
-//! the process's clock is moved on by its settings while it runs, which leaves out that
-//! timers and the kernel's own time-outs stand still too.
+//! The steady clock stops during a suspension, so everything would look as recent as before:
+//! requests whose callers have gone, members, connections. Ages are therefore measured with a
+//! clock that keeps running. Suspending a machine takes privileges that tests do not have.
+//! Instead, the settings advance the clock of the running process. Unlike in a real suspension,
+//! timers and the kernel's own timeouts keep running.
 
 mod support;
 
@@ -14,11 +14,11 @@
 use onyxfall_fakes::ServerFault;
 use support::{ServingSite, call, wait_for};
 
-/// Longer than any time-out of the test site.
-const AWAY: Duration = Duration::from_secs(10);
+/// Longer than any timeout of the test site.
+const SUSPENDED_FOR: Duration = Duration::from_secs(10);
 
-/// The age of a request in milliseconds, by the line on its end.
-fn told_age(log: &str, id: &str) -> Option<u64> {
+/// Age of a request in milliseconds, from the log line on its end.
+fn logged_age(log: &str, id: &str) -> Option<u64> {
     let line = log.lines().find(|line| {
         line.contains("\"message\":\"request refused\"")
             && line.contains(&format!("\"request\":\"{id}\""))
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn requests_whose_time_has_passed_meanwhile_end_at_once() {
+fn requests_whose_deadline_passed_during_a_suspension_end_at_once() {
     let serving = ServingSite::start();
     let ServingSite {
         gateway,
@@ -43,21 +43,24 @@
         let runs = server.runs();
         runs.iter().any(|run| run.call.request_id == "waiting")
     });
-    site.move_clock(0, AWAY);
+    site.move_clock(0, SUSPENDED_FOR);
     gateway.signal("-HUP");
     let reply = waiting.join().unwrap().unwrap();
     assert_eq!(
         reply.status.as_u16(),
         504,
-        "it may have run, its time is over"
+        "its deadline has passed; it may have run"
     );
-    let mut told = None;
+    let mut logged = None;
     wait_for("its end to be logged", || {
-        told = told_age(&gateway.log(), "waiting");
-        told.is_some()
+        logged = logged_age(&gateway.log(), "waiting");
+        logged.is_some()
     });
-    let age = told.unwrap();
-    assert!(u128::from(age) >= AWAY.as_millis(), "{age} ms are told");
+    let age = logged.unwrap();
+    assert!(
+        u128::from(age) >= SUSPENDED_FOR.as_millis(),
+        "{age} ms are logged"
+    );
     let log = gateway.log();
     assert!(log.contains("\"message\":\"was suspended\""));
     server.set_fault(ServerFault::None);
--- a/crates/gateway/tests/teams.rs
+++ b/crates/gateway/tests/teams.rs
@@ -1,4 +1,4 @@
-//! Whose request it is: keys, teams, their homes and their limits.
+//! API keys, teams, their home regions and their quotas.
 
 mod support;
 
@@ -22,9 +22,9 @@
     home_regions: &[],
 };
 
-/// One VM and one server in each of some regions, with teams.
+/// A site of several regions with one VM and at most one server in each, and teams.
 struct TeamSite {
-    // Fields drop in order: the gateways first, their surroundings after them.
+    // Fields drop in order: the gateways before what they depend on.
     gateways: Vec<Gateway>,
     servers: Vec<ServerStub>,
     site: Site,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Sends a request with a credential, and a forged name of a team.
+/// Sends a request with credentials and a forged team name.
 fn call_as(gateway: &Gateway, path: &str, id: &str, credentials: &[&str]) -> Reply {
     let mut headers = caller_headers(HOST, id, Duration::from_secs(3));
     for credential in credentials {
@@ -74,7 +74,7 @@
     path: &'static str,
     credentials: Vec<String>,
     status: u16,
-    /// Team that the server is told.
+    /// Team name that the server receives.
     team: Option<&'static str>,
 }
 
@@ -129,13 +129,13 @@
         assert_eq!(run.is_some(), case.status == 200, "{}: run", case.name);
         if let Some(run) = run {
             assert_eq!(run.call.team.as_deref(), case.team, "{}", case.name);
-            assert!(!run.call.has_key, "{}: the key went on", case.name);
+            assert!(!run.call.has_key, "{}: the key was forwarded", case.name);
         }
     }
 }
 
 #[test]
-fn another_region_gets_the_team_and_not_the_key() {
+fn a_forwarded_request_carries_the_team_but_not_the_key() {
     let site = TeamSite::start(2, 1, &[TEAM]);
     // The only server is in the first region.
     let reply = call_as(&site.gateways[1], "/once/x", "far", &[&bearer(KEY)]);
@@ -150,18 +150,18 @@
 }
 
 #[test]
-fn a_team_is_served_in_its_homes_only() {
+fn a_team_is_served_in_its_home_regions_only() {
     let bound = TeamText {
         home_regions: &["r1"],
         ..TEAM
     };
     let site = TeamSite::start(2, 1, &[bound]);
-    // The only server is in a region that is no home.
+    // The only server is in a region that is not a home.
     for gateway in &site.gateways {
         let reply = call_as(gateway, "/once/x", "bound", &[&bearer(KEY)]);
         assert_eq!(reply.status, StatusCode::SERVICE_UNAVAILABLE);
     }
-    // A VM with another configuration passes it on all the same.
+    // A VM with another configuration may still forward the request.
     let mut headers = caller_headers(HOST, "bound", Duration::from_secs(3));
     let own = [
         ("onyxfall-vm", "vm1"),
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn beyond_its_limit_a_team_is_refused_at_once_and_others_are_not() {
+fn a_team_beyond_its_quota_is_rejected_at_once_and_others_are_not() {
     let limited = TeamText { rate: 5.0, ..TEAM };
     let other = TeamText {
         name: "other",
@@ -208,12 +208,12 @@
         );
         assert_eq!(reply.status, StatusCode::OK, "another team was refused");
     }
-    // The rate would let 60 through in 12 s; these took a part of a second each.
+    // At the limit, 60 requests take 12 s; each of these took a fraction of a second.
     assert!(refused > 0, "nothing was refused");
 }
 
 #[test]
-fn a_key_that_is_taken_away_is_refused_and_a_new_one_served() {
+fn a_removed_key_is_rejected_and_a_new_one_served() {
     let site = TeamSite::start(2, 2, &[TEAM]);
     let changed = TeamText {
         keys: &[SECOND_KEY, UNKNOWN_KEY],
@@ -230,7 +230,7 @@
             assert_eq!(reply.status, StatusCode::OK);
         }
     }
-    // An older configuration does not bring it back.
+    // An older configuration does not restore the key.
     site.site.configure_teams(1, &[TEAM]);
     for number in 0..20 {
         let id = format!("back{number}");
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn no_key_stands_in_what_a_process_puts_out() {
+fn no_key_appears_in_logs_metrics_or_responses() {
     let limited = TeamText { rate: 2.0, ..TEAM };
     let site = TeamSite::start(2, 1, &[limited]);
     let mut replies: Vec<Reply> = Vec::new();
@@ -252,28 +252,28 @@
             }
         }
     }
-    // A document that is cut off where its keys stand.
-    let torn = format!("{{\"Version\":3,\"Tenants\":[{{\"ApiKeys\":[\"{KEY}\"");
+    // A document that is truncated after a key.
+    let truncated = format!("{{\"Version\":3,\"Tenants\":[{{\"ApiKeys\":[\"{KEY}\"");
     site.site
         .store
-        .put(onyxfall_adapter::stub::config_key(), torn);
-    wait_for("the torn document to be seen", || {
+        .put(onyxfall_adapter::stub::config_key(), truncated);
+    wait_for("the truncated document to be seen", || {
         site.gateways
             .iter()
             .any(|gateway| gateway.log().contains("item not understood"))
     });
-    let mut told: Vec<String> = site.gateways.iter().map(Gateway::log).collect();
+    let mut outputs: Vec<String> = site.gateways.iter().map(Gateway::log).collect();
     for gateway in &site.gateways {
-        told.push(get(gateway.ready(), "/metrics").unwrap().text().to_owned());
+        outputs.push(get(gateway.ready(), "/metrics").unwrap().text().to_owned());
     }
-    told.extend(
+    outputs.extend(
         replies
             .iter()
             .map(|reply| format!("{:?} {}", reply.headers, reply.text())),
     );
-    for text in told {
+    for text in outputs {
         for key in [KEY, SECOND_KEY, UNKNOWN_KEY] {
-            assert!(!text.contains(key), "a key stands in: {text}");
+            assert!(!text.contains(key), "a key appears in: {text}");
         }
     }
     let headers: Vec<HeaderMap> = replies.into_iter().map(|reply| reply.headers).collect();
--- a/crates/gateway/tests/silence.rs
+++ b/crates/gateway/tests/unresponsive.rs
@@ -1,4 +1,4 @@
-//! A server that falls silent is left by all VMs on the word of a few.
+//! All VMs avoid a server that has become unresponsive, on the evidence of a few of them.
 
 mod support;
 
@@ -8,12 +8,12 @@
 use onyxfall_fakes::{ServerFault, ServerStub};
 use support::{Gateway, Site, call, wait_for, wait_used};
 
-/// Requests that each VM has under way at once.
+/// Number of concurrent requests of each VM.
 const CALLERS: usize = 6;
-/// How much later the second VM is asked; an answer is overdue after 0.4 s.
-const LATER: Duration = Duration::from_millis(200);
+/// Delay of the second VM's requests; a response is overdue after 0.4 s.
+const SECOND_VM_DELAY: Duration = Duration::from_millis(200);
 
-/// Calls a VM from several callers at once; the ids of requests that got no success.
+/// Calls a VM from several callers at once. Returns the ids of requests without success.
 fn call_all(gateway: &Gateway, path: &'static str, round: usize) -> Vec<String> {
     let address = gateway.callers();
     let callers: Vec<_> = (0..CALLERS)
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn requests_that_may_be_repeated_leave_a_server_that_several_vms_miss() {
+fn repeatable_requests_are_retried_when_several_vms_find_a_server_unresponsive() {
     let site = Site::start_in(2, 1);
     let servers = [
         ServerStub::start(site.ip(0)).unwrap(),
@@ -48,7 +48,7 @@
     }
     servers[0].set_fault(ServerFault::Unresponsive);
     let muted_at = servers[0].runs().len();
-    // A request that stays at the mute server ends with its route's time, as a failure.
+    // A request that stays at the unresponsive server fails at the timeout of its route.
     let mut round = 0;
     wait_for("both VMs to have had requests at the mute server", || {
         round += 1;
@@ -59,12 +59,14 @@
             let [first, second] = calls.map(|calls| calls.join().unwrap());
             (first, second)
         });
-        let met = servers[0].runs().split_off(muted_at);
-        let has_met = |gateway: &Gateway| {
+        let muted_runs = servers[0].runs().split_off(muted_at);
+        let has_muted_run = |gateway: &Gateway| {
             let ip = gateway.ip.to_string();
-            met.iter().any(|run| run.call.request_id.starts_with(&ip))
+            muted_runs
+                .iter()
+                .any(|run| run.call.request_id.starts_with(&ip))
         };
-        if gateways.iter().all(has_met) {
+        if gateways.iter().all(has_muted_run) {
             assert_eq!(first, Vec::<String>::new(), "not served by the first VM");
             assert_eq!(second, Vec::<String>::new(), "not served by the second VM");
             return true;
@@ -73,10 +75,10 @@
     });
 }
 
-/// The second VM's answer becomes overdue after it has heard the first one's vote, so that
-/// time alone makes the server silent.
+/// The second VM's response becomes overdue after it has received the first VM's vote, so
+/// that time alone makes the server unresponsive.
 #[test]
-fn a_vm_whose_answer_is_overdue_last_leaves_the_server_too() {
+fn a_vm_whose_response_is_overdue_last_also_avoids_the_server() {
     let site = Site::start_in(2, 1);
     let servers = site.start_servers(2);
     site.configure(1);
@@ -90,7 +92,7 @@
     servers[0].set_fault(ServerFault::Unresponsive);
     let lost = thread::scope(|scope| {
         let first = scope.spawn(|| call_all(&gateways[0], "/repeat/x", 0));
-        thread::sleep(LATER);
+        thread::sleep(SECOND_VM_DELAY);
         let second = call_all(&gateways[1], "/repeat/x", 0);
         [first.join().unwrap(), second]
     });
--- a/crates/gateway/tests/watchers.rs
+++ b/crates/gateway/tests/watchers.rs
@@ -1,4 +1,4 @@
-//! Few VMs of a region watch the store; the others learn from them.
+//! Few VMs of a region watch the store, and the others get its changes from them.
 
 mod support;
 
@@ -8,12 +8,12 @@
 use onyxfall_fakes::ServerStub;
 use support::{Gateway, Site, call, wait_for};
 
-/// VMs of the region, all in one.
+/// Number of VMs, all in one region.
 const VMS: u8 = 5;
-/// VMs that watch for a region.
+/// Number of VMs that watch the store for a region.
 const WATCHERS: usize = 2;
-/// Looks in a row for which a state must hold to count as steady.
-const STEADY_LOOKS: usize = 40;
+/// Number of consecutive polls after which a state counts as stable.
+const STABLE_POLLS: usize = 40;
 
 fn start() -> (Vec<Gateway>, ServerStub, Site) {
     let site = Site::start_in(VMS, 1);
@@ -28,15 +28,15 @@
 }
 
 fn wait_watched(site: &Site) {
-    let mut looks = 0;
+    let mut polls = 0;
     wait_for("two VMs to watch for the region", || {
         let watches = site.store.open_watches();
-        looks = if (1..=WATCHERS).contains(&watches) {
-            looks + 1
+        polls = if (1..=WATCHERS).contains(&watches) {
+            polls + 1
         } else {
             0
         };
-        looks >= STEADY_LOOKS
+        polls >= STABLE_POLLS
     });
 }
 
@@ -47,7 +47,7 @@
     });
 }
 
-/// Writes a configuration without routes, which shows as 404.
+/// Writes a configuration without routes, which callers see as 404.
 fn withdraw_routes(site: &Site, version: u64) {
     let body = onyxfall_adapter::stub::document_body(version, &[], &[]);
     let key = onyxfall_adapter::stub::config_key();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn few_vms_watch_and_all_learn_of_changes() {
+fn few_vms_watch_and_all_receive_changes() {
     let (gateways, _server, site) = start();
     wait_watched(&site);
     withdraw_routes(&site, 2);
@@ -69,8 +69,8 @@
 fn others_watch_when_the_watchers_are_gone() {
     let (mut gateways, _server, site) = start();
     wait_watched(&site);
-    // Whoever watches is among the first three or the last two: kill all but two,
-    // so that at least one VM that followed has to watch.
+    // The watchers are among the first three or the last two VMs. With all but two killed, at
+    // least one VM that did not watch has to.
     gateways.truncate(2);
     wait_watched(&site);
     withdraw_routes(&site, 2);
@@ -79,17 +79,17 @@
     }
 }
 
-/// Watches that the other watcher may end, half a second each, until a VM whose watch
-/// brings nothing has a change that all others know. Until the watch's own end it would
-/// take twenty.
-const MOST_WATCHES: usize = 12;
+/// Largest number of watches, half a second each, that the other watcher may finish before a VM
+/// with a stalled watch has a change that all others have. If the VM waited for the stalled
+/// watch to time out, there would be twenty.
+const MAX_WATCHES: usize = 12;
 
 #[test]
-fn a_watch_that_brings_nothing_is_given_up_once_others_know_more() {
+fn a_stalled_watch_is_cancelled_once_others_have_later_changes() {
     let (gateways, _server, site) = start();
     wait_watched(&site);
     site.store.stall_next_watch();
-    wait_for("a watch that waits for ever", || {
+    wait_for("a watch that never responds", || {
         !site.store.awaits_stalled_watch()
     });
     let before = site.store.answered_watches();
@@ -98,15 +98,15 @@
         wait_in_force(gateway);
     }
     let ended = site.store.answered_watches() - before;
-    assert!(ended < MOST_WATCHES, "{ended} watches ended until then");
+    assert!(ended < MAX_WATCHES, "{ended} watches finished before then");
 }
 
-/// Routes that nobody uses, as large deployments have them: their configuration is larger
-/// than what a small VM's link should carry at once.
+/// Number of unused routes. As in large deployments, they make the configuration larger than
+/// what the link of a small VM should carry at once.
 const IDLE_ROUTES: usize = 600;
 
 #[test]
-fn a_large_configuration_reaches_all_without_further_reads() {
+fn a_large_configuration_reaches_all_vms_without_further_reads() {
     let (gateways, _server, site) = start();
     wait_watched(&site);
     let hosts: Vec<String> = (0..IDLE_ROUTES)
--- a/crates/operator/src/context.rs
+++ b/crates/operator/src/context.rs
@@ -1,4 +1,4 @@
-//! The commands that concern one content or one name.
+//! Commands that act on a single bundle, VM or backend server.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 
 use crate::error::OperatorError;
 
-/// What every command needs.
+/// Store, keys and identity of the operator, shared by all commands.
 pub struct OperatorContext {
     pub(crate) store: Arc<dyn PlatformStore>,
     pub(crate) keys: PlatformKeys,
@@ -23,7 +23,7 @@
 }
 
 impl OperatorContext {
-    /// A context for the commands of one operator.
+    /// Creates the context for the commands of one operator.
     pub fn new(
         store: Arc<dyn PlatformStore>,
         deployment: &str,
@@ -42,11 +42,12 @@
         }
     }
 
-    /// Checks a bundle without touching anything.
+    /// Parses and verifies a bundle without accessing the store; returns the
+    /// bundle and its canonical text.
     ///
     /// # Errors
     ///
-    /// Every fault of shape, or every broken rule.
+    /// All faults in the form of the declarations, or all violated rules.
     pub fn check(file: &str, text: &str) -> Result<(ServiceBundle, String), OperatorError> {
         let document = IniDocument::parse(file, text)?;
         let bundle = parse_bundle(&document)?;
@@ -54,11 +55,12 @@
         Ok((bundle, canonical_text(&document)))
     }
 
-    /// Stores a checked bundle under its digest. Storing it again changes nothing.
+    /// Checks a bundle and stores it under its digest. The command is idempotent.
     ///
     /// # Errors
     ///
-    /// The bundle has faults or is for another deployment, or the platform failed.
+    /// The bundle has faults or is for another deployment, or a call to the
+    /// platform failed.
     pub fn propose(&self, file: &str, text: &str) -> Result<ContentDigest, OperatorError> {
         let (bundle, canonical) = Self::check(file, text)?;
         if bundle.name != self.deployment {
@@ -69,40 +71,41 @@
         Ok(digest)
     }
 
-    /// Signs a proposed bundle after reading and checking what is stored.
+    /// Reads and checks a proposed bundle, then signs it; returns all operators
+    /// with a valid signature.
     ///
     /// # Errors
     ///
-    /// The content was not proposed or is not what its digest says, or the
-    /// platform failed.
+    /// The content was not proposed or does not match its digest, or a call to
+    /// the platform failed.
     pub fn sign_off(&self, digest: &ContentDigest) -> Result<Vec<OperatorName>, OperatorError> {
         let mut bundle = self.signed_bundle(digest)?;
         Self::check("content", &bundle.text)?;
         let signature = self.secret.sign(&SignedBundle::signing_text(digest));
         let text = json_text(&signature)?;
-        self.store_again(&self.keys.signature(digest, &self.operator), &text)?;
+        self.put_idempotent(&self.keys.signature(digest, &self.operator), &text)?;
         bundle.signatures.insert(self.operator.clone(), signature);
         Ok(bundle.signers(&self.ring))
     }
 
-    /// Asks for the drain of a VM or backend server; again changes nothing.
+    /// Requests the drain of a VM or backend server. The command is idempotent.
     ///
     /// # Errors
     ///
-    /// The platform failed.
+    /// The name is malformed, or a call to the platform failed.
     pub fn drain(&self, name: &str) -> Result<(), OperatorError> {
         let name: onyxfall_types::ServerName = name
             .parse()
             .map_err(|e| OperatorError::Name(format!("{e}")))?;
-        self.store_again(&self.keys.drain(name), self.operator.as_str())
+        self.put_idempotent(&self.keys.drain(name), self.operator.as_str())
     }
 
-    /// Takes a drain request back; a server that left comes back only with a
-    /// new incarnation.
+    /// Cancels a drain request. A server that has already left returns only with
+    /// a new incarnation.
     ///
     /// # Errors
     ///
-    /// The platform failed.
+    /// A call to the platform failed.
     pub fn undrain(&self, name: &str) -> Result<(), OperatorError> {
         Ok(self.store.delete(&self.keys.drain(name))?)
     }
@@ -111,26 +114,26 @@
     ///
     /// # Errors
     ///
-    /// The content was not proposed or is not what its digest says, or the
-    /// platform failed.
+    /// The content was not proposed or does not match its digest, or a call to
+    /// the platform failed.
     pub fn signed_bundle(&self, digest: &ContentDigest) -> Result<SignedBundle, OperatorError> {
         let stored = self.store.get(&self.keys.bundle(digest))?;
         let stored = stored.ok_or_else(|| OperatorError::NotProposed(digest.to_string()))?;
         let mut bundle = SignedBundle::unsigned(stored.value);
         if bundle.digest() != *digest {
-            let detail = "it is not what its digest says".to_owned();
+            let detail = "the text does not match its digest".to_owned();
             return Err(OperatorError::Malformed {
                 what: format!("content {digest}"),
                 detail,
             });
         }
         let prefix = self.keys.signatures(digest);
-        for found in self.store.list(&prefix)? {
-            let name = found
+        for entry in self.store.list(&prefix)? {
+            let name = entry
                 .key
                 .strip_prefix(&prefix)
                 .and_then(|name| name.parse().ok());
-            let signature = serde_json::from_str(&found.value).ok();
+            let signature = serde_json::from_str(&entry.value).ok();
             if let (Some(name), Some(signature)) = (name, signature) {
                 bundle.signatures.insert(name, signature);
             }
@@ -138,46 +141,51 @@
         Ok(bundle)
     }
 
-    /// Creates a key whose value never changes.
+    /// Creates a key whose value is immutable; succeeds if it exists with the same value.
     fn create(&self, key: &str, value: &str) -> Result<(), OperatorError> {
         match self
             .store
             .compare_and_swap(key, Expected::Absent, value, None)
         {
             Ok(SwapOutcome::Swapped(_)) => Ok(()),
-            Ok(SwapOutcome::Lost(found)) => {
+            Ok(SwapOutcome::Conflict(found)) => {
                 let value_found = found.as_ref().map(|f| f.value.as_str());
-                same_value(key, value_found, value)
+                check_same_value(key, value_found, value)
             }
             Err(e) if e.verdict == RunVerdict::NotRun => Err(e.into()),
-            Err(e) => self.resolve(key, value, e),
+            Err(e) => self.resolve_write(key, value, e),
         }
     }
 
-    /// Writes a key for which writing the same again does no harm.
-    fn store_again(&self, key: &str, value: &str) -> Result<(), OperatorError> {
+    /// Writes a key for which repeating the write is harmless.
+    fn put_idempotent(&self, key: &str, value: &str) -> Result<(), OperatorError> {
         match self.store.put(key, value, None) {
             Ok(()) => Ok(()),
             Err(e) if e.verdict == RunVerdict::NotRun => Err(e.into()),
-            Err(e) => self.resolve(key, value, e),
+            Err(e) => self.resolve_write(key, value, e),
         }
     }
 
-    /// Finds out by reading whether a write whose answer was lost took effect.
-    fn resolve(&self, key: &str, value: &str, lost: PlatformError) -> Result<(), OperatorError> {
+    /// Reads the key to determine whether a write whose response was lost took effect.
+    fn resolve_write(
+        &self,
+        key: &str,
+        value: &str,
+        write_error: PlatformError,
+    ) -> Result<(), OperatorError> {
         let found = self.store.get(key).map_err(OperatorError::Unknown)?;
         match found {
-            Some(found) => same_value(key, Some(&found.value), value),
-            None => Err(lost.into()),
+            Some(found) => check_same_value(key, Some(&found.value), value),
+            None => Err(write_error.into()),
         }
     }
 }
 
-fn same_value(key: &str, found: Option<&str>, value: &str) -> Result<(), OperatorError> {
+fn check_same_value(key: &str, found: Option<&str>, value: &str) -> Result<(), OperatorError> {
     if found == Some(value) {
         return Ok(());
     }
-    let detail = "another value stands there".to_owned();
+    let detail = "the key has another value".to_owned();
     Err(OperatorError::Malformed {
         what: key.to_owned(),
         detail,
--- a/crates/operator/src/error.rs
+++ b/crates/operator/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command did not do what it should.
+//! Errors of the operators' commands.
 
 use miette::Diagnostic;
 use onyxfall_bundle::{BundleFault, HeadError};
@@ -6,15 +6,15 @@
 use onyxfall_settings::SettingsError;
 use thiserror::Error;
 
-/// Why a command failed.
+/// Reason for which a command failed.
 #[derive(Debug, Error, Diagnostic)]
 pub enum OperatorError {
     /// The bundle's text has faults.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Settings(#[from] SettingsError),
-    /// The bundle breaks rules.
-    #[error("the bundle breaks rules:\n{}", list(.0))]
+    /// The bundle violates rules between declarations.
+    #[error("the bundle violates rules:\n{}", format_faults(.0))]
     Rules(Vec<BundleFault>),
     /// The bundle is for another deployment.
     #[error("the bundle is for deployment {0}")]
@@ -22,45 +22,45 @@
     /// The head does not allow the change.
     #[error(transparent)]
     Head(#[from] HeadError),
-    /// The platform failed.
+    /// A call to the platform failed.
     #[error(transparent)]
-    #[diagnostic(help("repeat the command: it finds out by itself how far it came"))]
+    #[diagnostic(help("repeat the command; it resumes where it stopped"))]
     Platform(#[from] PlatformError),
-    /// It could not be found out whether a change took effect.
-    #[error("the answer was lost and the head cannot be read: {0}")]
-    #[diagnostic(help("repeat the command: it finds out by itself how far it came"))]
+    /// It could not be determined whether a write took effect.
+    #[error("the response to a write was lost and its effect cannot be read: {0}")]
+    #[diagnostic(help("repeat the command; it resumes where it stopped"))]
     Unknown(PlatformError),
-    /// The head was changed by others each time.
-    #[error("the head changed under {0} tries; repeat the command")]
+    /// The head was changed concurrently during every attempt.
+    #[error("the head was changed concurrently in {0} attempts; repeat the command")]
     Contended(u32),
-    /// What is stored cannot be read.
-    #[error("{what} cannot be read: {detail}")]
+    /// A stored value is invalid.
+    #[error("{what} is invalid: {detail}")]
     Malformed {
-        /// What it is.
+        /// The value or key concerned.
         what: String,
-        /// What is wrong.
+        /// Description of the fault.
         detail: String,
     },
-    /// No such content.
+    /// No content is stored under the digest.
     #[error("content {0} was not proposed")]
     NotProposed(String),
-    /// Too few signatures.
+    /// The content does not have enough valid signatures.
     #[error("content {digest} is signed by {signers:?}; two operators must sign")]
     NotSignedOff {
-        /// The content.
+        /// Digest of the content.
         digest: String,
-        /// Who has signed.
+        /// Operators with a valid signature.
         signers: Vec<String>,
     },
-    /// The entries of a region did not follow in time.
+    /// Entry VMs of a region did not reach the version within the timeout.
     #[error("region {region} is not at {version} everywhere: {behind:?}")]
-    #[diagnostic(help("repeat the roll to go on, or withdraw the content"))]
+    #[diagnostic(help("repeat the roll to continue, or withdraw the content"))]
     Behind {
-        /// The region.
+        /// Region of the entry VMs.
         region: String,
-        /// The version.
+        /// Version to reach.
         version: String,
-        /// Entries that are behind or do not answer.
+        /// Names of entry VMs that are behind or do not respond.
         behind: Vec<String>,
     },
     /// A name is malformed.
@@ -68,7 +68,7 @@
     Name(String),
 }
 
-fn list(faults: &[BundleFault]) -> String {
+fn format_faults(faults: &[BundleFault]) -> String {
     let lines: Vec<String> = faults.iter().map(|fault| format!("  {fault}")).collect();
     lines.join("\n")
 }
--- a/crates/operator/src/head.rs
+++ b/crates/operator/src/head.rs
@@ -1,4 +1,4 @@
-//! Reading and changing the head.
+//! Reads the head and changes it by compare-and-swap.
 
 use std::thread;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 use crate::context::{OperatorContext, json_text};
 use crate::error::OperatorError;
 
-const MAX_TRIES: u32 = 16;
-const READ_TRIES: u32 = 4;
-const READ_PAUSE: Duration = Duration::from_millis(100);
+const MAX_ATTEMPTS: u32 = 16;
+const READ_ATTEMPTS: u32 = 4;
+const READ_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// The head with the revision at which it was read.
 pub(crate) struct StoredHead {
@@ -21,11 +21,11 @@
 }
 
 impl OperatorContext {
-    /// Reads the head; before the first roll it is empty.
+    /// Reads the head; it is empty before the first rollout.
     ///
     /// # Errors
     ///
-    /// The platform failed, or what stands there is not a head.
+    /// A call to the platform failed, or the stored value is not a valid head.
     pub fn head(&self) -> Result<HeadRecord, OperatorError> {
         Ok(self.stored_head()?.record)
     }
@@ -48,13 +48,13 @@
         })
     }
 
-    /// Makes one change of the head happen exactly once; returns the head after it.
+    /// Applies one change to the head exactly once; returns a head that includes it.
     pub(crate) fn change(
         &self,
         change: &HeadChange,
         operation: &OperationId,
     ) -> Result<HeadRecord, OperatorError> {
-        for _ in 0..MAX_TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let head = self.stored_head()?;
             if head.record.has_operation(operation) {
                 return Ok(head.record);
@@ -66,14 +66,14 @@
                 &self.operator,
                 &self.secret,
             )?;
-            if let Some(done) = self.swap(&head, next, operation)? {
-                return Ok(done);
+            if let Some(changed) = self.swap(&head, next, operation)? {
+                return Ok(changed);
             }
         }
-        Err(OperatorError::Contended(MAX_TRIES))
+        Err(OperatorError::Contended(MAX_ATTEMPTS))
     }
 
-    /// Writes the next head; `None` if another change came first.
+    /// Writes the next head; returns `None` if the head was changed concurrently.
     fn swap(
         &self,
         head: &StoredHead,
@@ -87,29 +87,30 @@
             .compare_and_swap(&self.keys.head(), expected, &text, None)
         {
             Ok(SwapOutcome::Swapped(_)) => Ok(Some(next)),
-            Ok(SwapOutcome::Lost(_)) => Ok(None),
+            Ok(SwapOutcome::Conflict(_)) => Ok(None),
             Err(e) if e.verdict == RunVerdict::NotRun => Err(e.into()),
             Err(e) => self.resolve_swap(operation, e),
         }
     }
 
-    /// Reads until it is known whether a swap whose answer was lost happened.
+    /// Reads the head to determine whether a swap whose response was lost took
+    /// effect, retrying failed reads.
     fn resolve_swap(
         &self,
         operation: &OperationId,
-        first: PlatformError,
+        swap_error: PlatformError,
     ) -> Result<Option<HeadRecord>, OperatorError> {
-        log::warn!("answer lost ({first}); reading the head");
-        let mut last = first;
-        for _ in 0..READ_TRIES {
+        log::warn!("response to a write of the head was lost ({swap_error}); reading the head");
+        let mut last_error = swap_error;
+        for _ in 0..READ_ATTEMPTS {
             match self.stored_head() {
                 Ok(head) if head.record.has_operation(operation) => return Ok(Some(head.record)),
                 Ok(_) => return Ok(None),
-                Err(OperatorError::Platform(e)) => last = e,
+                Err(OperatorError::Platform(e)) => last_error = e,
                 Err(e) => return Err(e),
             }
-            thread::sleep(READ_PAUSE);
+            thread::sleep(READ_RETRY_DELAY);
         }
-        Err(OperatorError::Unknown(last))
+        Err(OperatorError::Unknown(last_error))
     }
 }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,8 +1,9 @@
-//! The operators' commands: nothing else changes the system.
+//! The operators' commands, the only means of changing the configuration.
 //!
-//! Every command is safe to repeat. A lost answer is resolved by reading the
-//! head and looking for the operation, never guessed; of two operators who
-//! race, one wins and the other is told what won.
+//! Every command can be retried safely. A lost response to a change of the head
+//! is resolved by reading the head and looking for the operation; its outcome is
+//! never assumed. If two operators start rollouts concurrently, one succeeds and
+//! the other gets an error that names the open rollout.
 
 mod context;
 mod error;
@@ -16,7 +17,7 @@
 
 pub use context::OperatorContext;
 pub use error::OperatorError;
-pub use explain::RequestStory;
+pub use explain::RequestTimeline;
 pub use predictions::{PredictionGroup, PredictionRatios, PredictionReport};
 pub use rollout::{RollPlan, RollProgress};
 pub use settings::{OperatorSettings, load_operator_settings, parse_operator_settings};
--- a/crates/operator/src/main.rs
+++ b/crates/operator/src/main.rs
@@ -1,4 +1,4 @@
-//! The `onyxfall` program: the operators' commands.
+//! The `onyxfall` program: command line for operators.
 
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
@@ -12,16 +12,16 @@
 use onyxfall_bundle::{ContentDigest, HeadRecord, SigningSecret};
 use onyxfall_logging::{LogSink, start_logging};
 use onyxfall_operator::{
-    OperatorContext, PredictionReport, RequestStory, RollPlan, TeamReport, VersionReport,
+    OperatorContext, PredictionReport, RequestTimeline, RollPlan, TeamReport, VersionReport,
     load_operator_settings,
 };
 use onyxfall_platform::PlatformClient;
 use onyxfall_types::RegionName;
 
-/// Longest wait for the metrics of one VM.
-const METRICS_LIMIT: Duration = Duration::from_secs(3);
+/// Timeout for reading the metrics of one VM.
+const METRICS_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Propose, sign off, roll and withdraw bundles; drain VMs and servers.
+/// Propose, sign off, roll out and withdraw bundles; drain VMs and servers.
 #[derive(FromArgs)]
 struct OperatorArguments {
     /// settings file (INI); not needed by check and keygen
@@ -50,7 +50,7 @@
     Rollout(RolloutCommand),
 }
 
-/// make an operator's key pair
+/// generate an operator's key pair
 #[derive(FromArgs)]
 #[argh(subcommand, name = "keygen")]
 struct KeygenCommand {
@@ -59,7 +59,7 @@
     secret_file: PathBuf,
 }
 
-/// check a bundle without touching anything
+/// check a bundle without changing anything
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct CheckCommand {
@@ -81,16 +81,16 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "sign-off")]
 struct SignOffCommand {
-    /// digest, as told by propose
+    /// digest, as printed by propose
     #[argh(positional)]
     content: ContentDigest,
 }
 
-/// roll a signed bundle region by region
+/// roll a signed bundle out region by region
 #[derive(FromArgs)]
 #[argh(subcommand, name = "roll")]
 struct RollCommand {
-    /// digest, as told by propose
+    /// digest, as printed by propose
     #[argh(positional)]
     content: ContentDigest,
 
@@ -98,12 +98,12 @@
     #[argh(option)]
     regions: String,
 
-    /// how long to wait for the entries of a region, in ms; 0 to not wait
+    /// maximum time to wait for the entry VMs of a region, in ms; 0 disables the wait
     #[argh(option, default = "30000")]
     patience_ms: u64,
 }
 
-/// go back to the content before, under a higher version
+/// restore the former content, under a higher version
 #[derive(FromArgs)]
 #[argh(subcommand, name = "withdraw")]
 struct WithdrawCommand {
@@ -121,7 +121,7 @@
     name: String,
 }
 
-/// take a drain request back
+/// cancel a drain request
 #[derive(FromArgs)]
 #[argh(subcommand, name = "undrain")]
 struct UndrainCommand {
@@ -130,16 +130,16 @@
     name: String,
 }
 
-/// show what is in force where
+/// show the content in force in each region
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 struct StatusCommand {}
 
-/// tell the story of one request from log files, or from standard input
+/// show the timeline of one request from log files, or from standard input
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 struct ExplainCommand {
-    /// id of the request, as the caller or a log line names it
+    /// id of the request, as received by the caller or found in a log line
     #[argh(positional)]
     request: String,
 
@@ -161,20 +161,20 @@
     plot: Option<PathBuf>,
 }
 
-/// tell what teams use of their limits, summed over the metrics of gateways
+/// show the usage of team limits, summed over the metrics of gateways
 #[derive(FromArgs)]
 #[argh(subcommand, name = "teams")]
 struct TeamsCommand {
-    /// where gateways tell readiness and metrics, IP:PORT each
+    /// addresses at which gateways serve readiness and metrics, IP:PORT each
     #[argh(positional)]
     addresses: Vec<SocketAddr>,
 }
 
-/// tell how far the roll-outs of services are, from the metrics of gateways
+/// show the progress of service rollouts, from the metrics of gateways
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rollout")]
 struct RolloutCommand {
-    /// where gateways tell readiness and metrics, IP:PORT each
+    /// addresses at which gateways serve readiness and metrics, IP:PORT each
     #[argh(positional)]
     addresses: Vec<SocketAddr>,
 }
@@ -195,7 +195,7 @@
     match &arguments.command {
         OperatorCommand::Keygen(command) => keygen(&command.secret_file),
         OperatorCommand::Check(command) => {
-            let (file, text) = read(&command.bundle)?;
+            let (file, text) = read_bundle(&command.bundle)?;
             let (bundle, canonical) = OperatorContext::check(&file, &text)?;
             println!("{bundle}\ncontent {}", ContentDigest::of(&canonical));
             Ok(())
@@ -204,14 +204,14 @@
         OperatorCommand::Predictions(command) => predictions(command),
         OperatorCommand::Teams(command) => teams(command),
         OperatorCommand::Rollout(command) => rollout(command),
-        command => run_stored(command, &open_context(&arguments.settings)?),
+        command => run_with_platform(command, &open_context(&arguments.settings)?),
     }
 }
 
-fn run_stored(command: &OperatorCommand, context: &OperatorContext) -> Result<(), Report> {
+fn run_with_platform(command: &OperatorCommand, context: &OperatorContext) -> Result<(), Report> {
     match command {
         OperatorCommand::Propose(command) => {
-            let (file, text) = read(&command.bundle)?;
+            let (file, text) = read_bundle(&command.bundle)?;
             println!("proposed {}", context.propose(&file, &text)?);
         }
         OperatorCommand::SignOff(command) => {
@@ -245,21 +245,21 @@
         | OperatorCommand::Predictions(_)
         | OperatorCommand::Teams(_)
         | OperatorCommand::Rollout(_) => {
-            unreachable!("handled without the platform")
+            unreachable!("commands without platform access are handled by `run`")
         }
     }
     Ok(())
 }
 
 fn explain(command: &ExplainCommand) -> Result<(), Report> {
-    let mut story = RequestStory::default();
+    let mut timeline = RequestTimeline::default();
     read_logs(&command.logs, |name, lines| {
-        story.read(name, &command.request, lines)
+        timeline.read(name, &command.request, lines)
     })?;
-    if story.is_empty() {
-        return Err(miette!("no line speaks of request {}", command.request));
+    if timeline.is_empty() {
+        return Err(miette!("no log line of request {} found", command.request));
     }
-    print!("{story}");
+    print!("{timeline}");
     Ok(())
 }
 
@@ -267,12 +267,12 @@
     let mut report = PredictionReport::default();
     read_logs(&command.logs, |_, lines| report.read(lines))?;
     if report.is_empty() {
-        return Err(miette!("no line tells of a prediction"));
+        return Err(miette!("no log line contains a prediction"));
     }
     print!("{report}");
     if let Some(path) = &command.plot {
-        let plotted = report.plot(path);
-        plotted.map_err(|e| miette!("{}: {e}", path.display()))?;
+        let result = report.plot(path);
+        result.map_err(|e| miette!("{}: {e}", path.display()))?;
     }
     Ok(())
 }
@@ -281,7 +281,7 @@
     let mut report = TeamReport::default();
     read_metrics(&command.addresses, |vm, metrics| report.read(vm, metrics));
     if report.is_empty() {
-        return Err(miette!("no VM told of a team"));
+        return Err(miette!("no VM reported a team"));
     }
     print!("{report}");
     Ok(())
@@ -291,27 +291,27 @@
     let mut report = VersionReport::default();
     read_metrics(&command.addresses, |vm, metrics| report.read(vm, metrics));
     if report.is_empty() {
-        return Err(miette!("no VM told of a roll-out"));
+        return Err(miette!("no VM reported a rollout"));
     }
     print!("{report}");
     Ok(())
 }
 
-/// Reads the metrics of each VM; one that does not tell them is named.
+/// Reads the metrics of each VM; prints an error for each VM that cannot be read.
 fn read_metrics(addresses: &[SocketAddr], mut read: impl FnMut(&str, &str)) {
-    let config = ureq::Agent::config_builder().timeout_global(Some(METRICS_LIMIT));
+    let config = ureq::Agent::config_builder().timeout_global(Some(METRICS_TIMEOUT));
     let agent: ureq::Agent = config.build().into();
     for address in addresses {
-        let reply = agent.get(format!("http://{address}/metrics")).call();
-        let text = reply.and_then(|mut reply| reply.body_mut().read_to_string());
+        let response = agent.get(format!("http://{address}/metrics")).call();
+        let text = response.and_then(|mut response| response.body_mut().read_to_string());
         match text {
             Ok(metrics) => read(&address.to_string(), &metrics),
-            Err(e) => eprintln!("{address}: {e}; its part is missing below"),
+            Err(e) => eprintln!("{address}: {e}; its metrics are missing from the report"),
         }
     }
 }
 
-/// Reads each log, or standard input (named `-`) if there is none.
+/// Reads each log, or standard input (named `-`) if no log is given.
 fn read_logs(
     logs: &[PathBuf],
     mut read: impl FnMut(&str, &mut dyn BufRead) -> io::Result<()>,
@@ -321,8 +321,8 @@
         let file = std::fs::File::open(log)
             .into_diagnostic()
             .wrap_err_with(|| name.clone())?;
-        let read = read(&name, &mut BufReader::new(file));
-        read.into_diagnostic().wrap_err(name)?;
+        let result = read(&name, &mut BufReader::new(file));
+        result.into_diagnostic().wrap_err(name)?;
     }
     if logs.is_empty() {
         read("-", &mut io::stdin().lock()).into_diagnostic()?;
@@ -330,7 +330,7 @@
     Ok(())
 }
 
-fn read(path: &Path) -> Result<(String, String), Report> {
+fn read_bundle(path: &Path) -> Result<(String, String), Report> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path)
         .into_diagnostic()
@@ -365,7 +365,7 @@
         .collect()
 }
 
-/// Writes the secret so that only its owner can read it.
+/// Generates a key pair and writes the secret key to a file that only its owner can read.
 fn keygen(path: &Path) -> Result<(), Report> {
     use std::io::Write;
     use std::os::unix::fs::OpenOptionsExt;
--- a/crates/operator/src/predictions.rs
+++ b/crates/operator/src/predictions.rs
@@ -1,9 +1,10 @@
-//! Predicted against measured times, read from the logs of gateways.
+//! Compares predicted with measured times, read from the logs of gateways.
 //!
-//! A line `request ended` holds when the last attempt was sent, what was predicted
-//! for it and when its answer began and ended. The ratio of measured to predicted
-//! is told for each route and way: at home in the VM's region, or away in another.
-//! A ratio of 1 is a true prediction, 2 one of half of what it took.
+//! A line `request ended` holds the time at which the last attempt was sent, the
+//! predictions for it, and the times of the first and last byte of its response. The
+//! ratio of measured to predicted time is reported per route and per place: `home` in
+//! the VM's region, or `away` in another. A ratio of 1 is an exact prediction; a ratio
+//! of 2 means that the request took twice the predicted time.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -16,24 +17,25 @@
 
 use crate::explain::parse_line;
 
-const SIZE: (u32, u32) = (900, 500);
-const COLORS: [RGBColor; 6] = [BLUE, RED, GREEN, MAGENTA, CYAN, BLACK];
-/// Quantiles that are told.
+const PLOT_SIZE: (u32, u32) = (900, 500);
+const PLOT_COLORS: [RGBColor; 6] = [BLUE, RED, GREEN, MAGENTA, CYAN, BLACK];
+/// Quantiles in the report.
 const QUANTILES: [f64; 3] = [0.5, 0.9, 0.99];
 /// Range of ratios in the plot.
 const PLOT_RANGE: (f64, f64) = (0.1, 10.0);
-/// Points of a curve in the plot.
+/// Number of steps of a curve in the plot.
 const PLOT_POINTS: usize = 100;
-/// Whole answers count from this predicted time on, in milliseconds: below, the end
-/// is the first byte's.
-const LEAST_MS: f64 = 1.0;
+/// Minimum predicted time to the first byte, in milliseconds; requests with a shorter
+/// prediction are ignored, because the end of their response is that of the first byte.
+const MIN_PREDICTED_MS: f64 = 1.0;
 
-/// Requests that are told together.
+/// Key by which requests are grouped.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PredictionGroup {
-    /// Route.
+    /// Route of the requests.
     pub route: String,
-    /// Region of the VM that told of it, where known, and whether it was sent away.
+    /// Region of the VM that logged the request, if known, and `home` or `away`
+    /// (forwarded to another region).
     pub place: String,
 }
 
@@ -44,14 +46,14 @@
     end: Vec<f64>,
 }
 
-/// Ratios of measured to predicted times, by route and way.
+/// Ratios of measured to predicted times, by route and place.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PredictionReport {
     groups: BTreeMap<PredictionGroup, PredictionRatios>,
 }
 
 impl PredictionReport {
-    /// Takes the lines of a log.
+    /// Adds the lines of a log.
     ///
     /// # Errors
     ///
@@ -71,13 +73,13 @@
             let line = line?;
             let line = String::from_utf8_lossy(&line);
             if let Some((_, fields)) = parse_line(&line) {
-                self.take(&fields);
+                self.add_request(&fields);
             }
         }
         Ok(())
     }
 
-    fn take(&mut self, fields: &Map<String, Value>) {
+    fn add_request(&mut self, fields: &Map<String, Value>) {
         let text = |name: &str| fields.get(name).and_then(Value::as_str);
         let number = |name: &str| fields.get(name).and_then(Value::as_f64);
         if text("message") != Some("request ended") {
@@ -91,16 +93,16 @@
         ) else {
             return;
         };
-        // Of a request that was resumed, the first byte was not the last attempt's.
-        if predicted < LEAST_MS || first < sent || number("resumes").unwrap_or(0.0) > 0.0 {
+        // The first byte of a resumed request did not come from the last attempt.
+        if predicted < MIN_PREDICTED_MS || first < sent || number("resumes").unwrap_or(0.0) > 0.0 {
             return;
         }
-        let way = if text("reason") == Some("away") {
+        let kind = if text("reason") == Some("away") {
             "away"
         } else {
             "home"
         };
-        let place = text("region").map_or(way.to_owned(), |region| format!("{region}, {way}"));
+        let place = text("region").map_or(kind.to_owned(), |region| format!("{region}, {kind}"));
         let group = PredictionGroup {
             route: route.to_owned(),
             place,
@@ -115,12 +117,12 @@
         }
     }
 
-    /// Whether no log told of a prediction.
+    /// Whether no log contained a prediction.
     pub fn is_empty(&self) -> bool {
         self.groups.is_empty()
     }
 
-    /// The ratios of a group.
+    /// All groups with their ratios.
     pub fn groups(&self) -> impl Iterator<Item = (&PredictionGroup, &PredictionRatios)> {
         self.groups.iter()
     }
@@ -131,14 +133,14 @@
         groups.into_iter()
     }
 
-    /// Draws the ratio of measured to predicted first bytes of the groups with the most
-    /// requests by quantile, as SVG.
+    /// Plots the ratio of measured to predicted time to the first byte by quantile, for
+    /// the groups with the most requests, as SVG.
     ///
     /// # Errors
     ///
     /// The file cannot be written.
     pub fn plot(&self, path: &Path) -> Result<(), Box<dyn Error>> {
-        let root = SVGBackend::new(path, SIZE).into_drawing_area();
+        let root = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
         root.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&root)
             .margin(20)
@@ -147,11 +149,11 @@
             .build_cartesian_2d(0.0..1.0, (PLOT_RANGE.0..PLOT_RANGE.1).log_scale())?;
         chart
             .configure_mesh()
-            .x_desc("part of requests")
+            .x_desc("fraction of requests")
             .y_desc("measured / predicted first byte")
             .draw()?;
-        for ((group, ratios), color) in self.largest_groups().zip(COLORS) {
-            let points = curve(&ratios.first);
+        for ((group, ratios), color) in self.largest_groups().zip(PLOT_COLORS) {
+            let points = quantile_curve(&ratios.first);
             let name = format!("{} ({})", group.route, group.place);
             chart
                 .draw_series(LineSeries::new(points, color))?
@@ -168,22 +170,22 @@
 }
 
 impl PredictionRatios {
-    /// Number of requests.
+    /// Number of requests in the group.
     pub fn len(&self) -> usize {
         self.first.len()
     }
 
-    /// Whether there is no request.
+    /// Whether the group has no request.
     pub fn is_empty(&self) -> bool {
         self.first.is_empty()
     }
 
-    /// Ratio of first bytes that a part of the requests stays below.
+    /// Quantile `part` of the ratios for the time to the first byte.
     pub fn first_quantile(&self, part: f64) -> Option<f64> {
         quantile(&self.first, part)
     }
 
-    /// The same for the ends of answers.
+    /// Quantile `part` of the ratios for the time to the end of the response.
     pub fn end_quantile(&self, part: f64) -> Option<f64> {
         quantile(&self.end, part)
     }
@@ -231,7 +233,7 @@
     sorted.get(index).copied()
 }
 
-fn curve(ratios: &[f64]) -> Vec<(f64, f64)> {
+fn quantile_curve(ratios: &[f64]) -> Vec<(f64, f64)> {
     (0..=PLOT_POINTS)
         .filter_map(|step| {
             let part = step as f64 / PLOT_POINTS as f64;
--- a/crates/operator/src/rollout.rs
+++ b/crates/operator/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Rolling a content region by region, and withdrawing it.
+//! Rolls a content out region by region, and withdraws it.
 
 use std::collections::VecDeque;
 use std::thread;
@@ -13,49 +13,50 @@
 use crate::context::OperatorContext;
 use crate::error::OperatorError;
 
-const LOOK: Duration = Duration::from_millis(200);
-const LOOK_TIMEOUT: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+const VERSION_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What to roll.
+/// Content, regions and timeout of a rollout.
 #[derive(Clone, Debug)]
 pub struct RollPlan {
-    /// The content; two operators must have signed it.
+    /// Content to roll out; two operators must have signed it.
     pub content: ContentDigest,
-    /// Regions, in order.
+    /// Regions in rollout order.
     pub regions: Vec<RegionName>,
-    /// How long to wait for the entries of a region before the next; zero to
-    /// not look at all.
+    /// Maximum time to wait for the entry VMs of a region before continuing with
+    /// the next; zero disables the wait.
     pub patience: Duration,
 }
 
-/// A step of a rollout that has happened.
+/// A completed step of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RollProgress {
-    /// The region.
+    /// Region of the step.
     pub region: RegionName,
     /// Version under which the content is in force there.
     pub version: BundleVersion,
 }
 
 impl OperatorContext {
-    /// Rolls a content to regions in order, telling `each` step.
+    /// Rolls a content out to regions in order, and calls `on_step` after each step.
     ///
-    /// Repeated after a failure it goes on where it stopped.
+    /// If repeated after a failure, the rollout resumes where it stopped.
     ///
     /// # Errors
     ///
     /// Another rollout is open (the error names it), the content is not signed
-    /// off, a region did not follow, or the platform failed.
+    /// off, the entry VMs of a region did not reach the version in time, or a call
+    /// to the platform failed.
     pub fn roll(
         &self,
         plan: &RollPlan,
-        mut each: impl FnMut(&RollProgress),
+        mut on_step: impl FnMut(&RollProgress),
     ) -> Result<HeadRecord, OperatorError> {
-        self.need_sign_off(&plan.content)?;
+        self.require_sign_off(&plan.content)?;
         let mut head = self.head()?;
         let rollout = match self.own_rollout(&head, plan) {
             Some(rollout) => rollout,
-            None if is_rolled(&head, plan) => return Ok(head),
+            None if is_rolled_out(&head, plan) => return Ok(head),
             None => {
                 let rollout = OperationId::new(Uuid::new_v4().to_string());
                 let regions: VecDeque<RegionName> = plan
@@ -90,25 +91,26 @@
                 .map(|r| r.version)
                 .unwrap_or_default();
             let progress = RollProgress { region, version };
-            each(&progress);
+            on_step(&progress);
             self.wait_for_region(&progress, plan.patience)?;
         }
         Ok(head)
     }
 
-    /// Goes back to the former content wherever `content` is in force or under
-    /// way, under a higher version. A second time changes nothing.
+    /// Restores the former content, under a higher version, in every region where
+    /// `content` is in force, and closes an open rollout of `content`. Repeating
+    /// it changes nothing.
     ///
     /// # Errors
     ///
-    /// The content is in force nowhere or has nothing before it, or the
-    /// platform failed.
+    /// The content is not in force in any region or has no former content, or a
+    /// call to the platform failed.
     pub fn withdraw(&self, content: &ContentDigest) -> Result<HeadRecord, OperatorError> {
         let operation = OperationId::new(Uuid::new_v4().to_string());
         self.change(&HeadChange::Withdraw { content: *content }, &operation)
     }
 
-    fn need_sign_off(&self, digest: &ContentDigest) -> Result<(), OperatorError> {
+    fn require_sign_off(&self, digest: &ContentDigest) -> Result<(), OperatorError> {
         let bundle = self.signed_bundle(digest)?;
         if bundle.is_signed_off(&self.ring) {
             return Ok(());
@@ -124,7 +126,7 @@
         })
     }
 
-    /// The own open rollout of the same content, from an earlier run.
+    /// Finds an open rollout of the same content by this operator, from an earlier run.
     fn own_rollout(&self, head: &HeadRecord, plan: &RollPlan) -> Option<OperationId> {
         let open = head.rollout.as_ref()?;
         let same = open.operator == self.operator && open.content == plan.content;
@@ -139,24 +141,24 @@
         if patience.is_zero() {
             return Ok(());
         }
-        let until = Instant::now() + patience;
+        let deadline = Instant::now() + patience;
         loop {
             let behind = self.behind(step)?;
             if behind.is_empty() {
                 return Ok(());
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return Err(OperatorError::Behind {
                     region: step.region.to_string(),
                     version: step.version.to_string(),
                     behind,
                 });
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Entries of the region that are not at the version yet.
+    /// Names of the region's entry VMs that have not reached the version.
     fn behind(&self, step: &RollProgress) -> Result<Vec<String>, OperatorError> {
         let directory = self.store.directory()?;
         let entries = directory
@@ -164,13 +166,13 @@
             .flatten()
             .filter(|entry| entry.region == step.region);
         Ok(entries
-            .filter(|entry| version_of(entry) < Some(step.version))
+            .filter(|entry| query_version(entry) < Some(step.version))
             .map(|entry| entry.name.clone())
             .collect())
     }
 }
 
-fn is_rolled(head: &HeadRecord, plan: &RollPlan) -> bool {
+fn is_rolled_out(head: &HeadRecord, plan: &RollPlan) -> bool {
     let in_force = |region| {
         head.regions
             .get(region)
@@ -187,11 +189,11 @@
     open.remaining.front().cloned()
 }
 
-/// Version that an entry says is in force; `None` if it does not answer.
-fn version_of(entry: &VmRecord) -> Option<BundleVersion> {
+/// Queries the version in force at an entry VM; `None` if it does not respond.
+fn query_version(entry: &VmRecord) -> Option<BundleVersion> {
     let agent = ureq::Agent::config_builder()
         .proxy(None)
-        .timeout_global(Some(LOOK_TIMEOUT))
+        .timeout_global(Some(VERSION_TIMEOUT))
         .build()
         .new_agent();
     let url = format!("http://{}/v1/version", entry.address);
--- a/crates/operator/src/settings.rs
+++ b/crates/operator/src/settings.rs
@@ -7,35 +7,35 @@
 use onyxfall_settings::{FaultList, IniDocument, SettingsError};
 use onyxfall_types::OperatorName;
 
-/// What the command is told.
+/// Settings of the operators' command.
 #[derive(Clone, Debug)]
 pub struct OperatorSettings {
     /// Name of the deployment.
     pub deployment: String,
-    /// Who gives the command.
+    /// Operator who runs the command.
     pub name: OperatorName,
     /// File with that operator's secret key.
     pub secret_file: String,
-    /// The platform's service.
+    /// Settings of the platform client.
     pub platform: PlatformSettings,
-    /// Operators whose signatures count.
+    /// Operators whose signatures are accepted.
     pub operators: OperatorRing,
 }
 
-/// Reads settings from a file.
+/// Loads settings from a file.
 ///
 /// # Errors
 ///
-/// The file cannot be read or has faults; all are named.
+/// The file cannot be read or has faults; the error lists all of them.
 pub fn load_operator_settings(path: &Path) -> Result<OperatorSettings, SettingsError> {
     read_settings(&IniDocument::load(path)?)
 }
 
-/// Reads settings from a text; `file` names it in faults.
+/// Parses settings from a text; `file` is the name used in error messages.
 ///
 /// # Errors
 ///
-/// The text has faults; all are named.
+/// The text has faults; the error lists all of them.
 pub fn parse_operator_settings(file: &str, text: &str) -> Result<OperatorSettings, SettingsError> {
     read_settings(&IniDocument::parse(file, text)?)
 }
--- a/crates/operator/src/teams.rs
+++ b/crates/operator/src/teams.rs
@@ -1,13 +1,13 @@
-//! What teams use of their limits, summed over the metrics of gateways.
+//! Usage of team limits, summed over the metrics of gateways.
 //!
-//! Each gateway tells what it admitted, refused and gave back of every team, the team's
-//! limit and what is asked of it now. Sums over all VMs are what a limit is about; the
-//! versions in force show a VM that is behind.
+//! Each gateway reports, per team, the units that it admitted, refused and gave back,
+//! the team's limit and the current demand. A limit applies to the sum over all VMs, so
+//! usage is summed. The versions in force show which VMs are behind.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What all VMs that were asked tell of one team, in units of its limit.
+/// Usage of one team, summed over the queried VMs, in units of its limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct TeamUsage {
     limit: f64,
@@ -17,16 +17,16 @@
     given_back: f64,
 }
 
-/// What teams use, over some VMs.
+/// Usage of all teams, summed over the queried VMs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TeamReport {
     teams: BTreeMap<String, TeamUsage>,
-    /// VMs by the version that they say is in force.
+    /// VMs by the configuration version that they report as in force.
     versions: BTreeMap<String, Vec<String>>,
 }
 
 impl TeamReport {
-    /// Takes the metrics of a VM.
+    /// Adds the metrics of a VM.
     ///
     /// ```
     /// use onyxfall_operator::TeamReport;
@@ -41,18 +41,19 @@
                 let vms = self.versions.entry(version.to_owned()).or_default();
                 vms.push(vm.to_owned());
             }
-            self.take(line);
+            self.add_line(line);
         }
     }
 
-    fn take(&mut self, line: &str) -> Option<()> {
+    fn add_line(&mut self, line: &str) -> Option<()> {
         let (name, rest) = line.split_once("{team=\"")?;
         let (team, rest) = rest.split_once('"')?;
         let (labels, value) = rest.split_once("} ")?;
         let value: f64 = value.parse().ok()?;
         let usage = self.teams.entry(team.to_owned()).or_default();
         match (name, labels) {
-            // A limit holds over all VMs; one that is behind may tell an older one.
+            // A limit applies to all VMs together, so it is not summed. A VM that is
+            // behind may report an older limit.
             ("onyxfall_team_limit", _) => usage.limit = value,
             ("onyxfall_team_demand", _) => usage.demand += value,
             ("onyxfall_team_units_total", ",outcome=\"admitted\"") => usage.admitted += value,
@@ -63,7 +64,7 @@
         Some(())
     }
 
-    /// Whether no VM told of a team.
+    /// Whether no VM reported a team.
     pub fn is_empty(&self) -> bool {
         self.teams.is_empty()
     }
--- a/crates/operator/src/versions.rs
+++ b/crates/operator/src/versions.rs
@@ -1,44 +1,46 @@
-//! How far the roll-outs of services are, told from the metrics of gateways.
+//! Progress of service rollouts, read from the metrics of gateways.
 //!
-//! Each gateway tells where it sends requests, what speaks against the new version, and
-//! the counts of both versions as it knows them, those of the other VMs included. So the
-//! figures of the VM that knows of most answers are shown, and every VM's step.
+//! Each gateway reports its phase of the rollout, which determines where it sends
+//! requests, the weight of the evidence against the new version, and the counts of both
+//! versions that it has received, including those of other VMs. Counts therefore overlap
+//! between VMs: the report shows the maximum of each count over the VMs, and the phase of
+//! every VM.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Labels of a metric by name.
+/// Label values of a metric, by label name.
 type MetricLabels<'a> = BTreeMap<&'a str, &'a str>;
 
-/// Counts of one version on one route.
+/// Response counts of one version on one route.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct VersionCounts {
     answers: f64,
     failures: f64,
-    /// Slow answers by how many times slower than usual they were at least.
+    /// Slow responses by the minimum ratio of their time to the usual time.
     slow: BTreeMap<String, f64>,
 }
 
-/// One service's roll-out.
+/// Progress of the rollout of one service.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct VersionProgress {
-    /// VMs by step and by the reason that they give for it.
-    steps: BTreeMap<(String, String), BTreeSet<String>>,
-    /// Largest weight of what speaks against the version.
+    /// VMs by phase and by the reported reason for it.
+    phases: BTreeMap<(String, String), BTreeSet<String>>,
+    /// Maximum weight of the evidence against the version.
     weight: f64,
     /// Counts by route and version, old or new.
     counts: BTreeMap<(String, String), VersionCounts>,
 }
 
-/// Roll-outs, over some VMs.
+/// Progress of all rollouts, collected from the queried VMs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VersionReport {
-    /// By service and ordered version.
+    /// Progress by service and ordered version.
     services: BTreeMap<(String, String), VersionProgress>,
 }
 
 impl VersionReport {
-    /// Takes the metrics of a VM.
+    /// Adds the metrics of a VM.
     ///
     /// ```
     /// use onyxfall_operator::VersionReport;
@@ -49,11 +51,11 @@
     /// ```
     pub fn read(&mut self, vm: &str, metrics: &str) {
         for line in metrics.lines() {
-            self.take(vm, line);
+            self.add_line(vm, line);
         }
     }
 
-    fn take(&mut self, vm: &str, line: &str) -> Option<()> {
+    fn add_line(&mut self, vm: &str, line: &str) -> Option<()> {
         let (name, rest) = line.strip_prefix("onyxfall_rollout")?.split_once('{')?;
         let (labels, value) = rest.split_once("} ")?;
         let labels = parse_labels(labels);
@@ -63,7 +65,10 @@
         let progress = self.services.entry(key).or_default();
         if name.is_empty() {
             let reason = label("reason").unwrap_or_default();
-            let vms = progress.steps.entry((label("phase")?, reason)).or_default();
+            let vms = progress
+                .phases
+                .entry((label("phase")?, reason))
+                .or_default();
             vms.insert(vm.to_owned());
             return Some(());
         }
@@ -85,13 +90,13 @@
         Some(())
     }
 
-    /// Whether no VM told of a roll-out.
+    /// Whether no VM reported a rollout.
     pub fn is_empty(&self) -> bool {
         self.services.is_empty()
     }
 }
 
-/// Labels as `name="value"`, joined by commas.
+/// Parses labels of the form `name="value"`, separated by commas.
 fn parse_labels(labels: &str) -> MetricLabels<'_> {
     let pairs = labels.split(',').filter_map(|pair| pair.split_once('='));
     let pairs = pairs.map(|(name, value)| (name, value.trim_matches('"')));
@@ -102,14 +107,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for ((service, version), progress) in &self.services {
             writeln!(f, "{service} to {version}, weight {:.1}", progress.weight)?;
-            for ((step, reason), vms) in &progress.steps {
+            for ((phase, reason), vms) in &progress.phases {
                 let vms: Vec<&str> = vms.iter().map(String::as_str).collect();
-                let because = if reason.is_empty() || reason == "none" {
+                let reason_text = if reason.is_empty() || reason == "none" {
                     String::new()
                 } else {
                     format!(" ({reason})")
                 };
-                writeln!(f, "  {step}{because}: {}", vms.join(" "))?;
+                writeln!(f, "  {phase}{reason_text}: {}", vms.join(" "))?;
             }
             for ((route, side), counts) in &progress.counts {
                 write!(
--- a/crates/operator/tests/commands.rs
+++ b/crates/operator/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The commands against the platform stand-in, with its faults at every step.
+//! Tests of the commands against a stub of the platform, with injected faults.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -53,7 +53,7 @@
         self.platform.set_faults(faults);
     }
 
-    fn signed(&self, edition: u32) -> onyxfall_bundle::ContentDigest {
+    fn propose_signed(&self, edition: u32) -> onyxfall_bundle::ContentDigest {
         let digest = self.operator(0).propose("b.ini", &bundle(edition)).unwrap();
         self.operator(0).sign_off(&digest).unwrap();
         self.operator(1).sign_off(&digest).unwrap();
@@ -81,7 +81,7 @@
 struct FaultCase {
     name: &'static str,
     faults: fn() -> PlatformFaults,
-    /// Whether the command succeeds in spite of the fault.
+    /// Whether the command succeeds despite the fault.
     succeeds: bool,
 }
 
@@ -95,7 +95,7 @@
         succeeds: false,
     },
     FaultCase {
-        name: "refused for its rate",
+        name: "rate limit of the service",
         faults: || PlatformFaults {
             refuse_calls: 1,
             ..PlatformFaults::default()
@@ -103,7 +103,7 @@
         succeeds: false,
     },
     FaultCase {
-        name: "answer of a write lost",
+        name: "response of a write lost",
         faults: || PlatformFaults {
             lose_answers: 1,
             ..PlatformFaults::default()
@@ -111,7 +111,7 @@
         succeeds: true,
     },
     FaultCase {
-        name: "slow",
+        name: "slow responses",
         faults: || PlatformFaults {
             delay_ms: 20,
             ..PlatformFaults::default()
@@ -120,11 +120,11 @@
     },
 ];
 
-/// A command by name, so that each meets each fault.
+/// A command, and a check that it has taken effect.
 struct CommandCase {
     name: &'static str,
     run: fn(&CommandBench) -> Result<(), OperatorError>,
-    done: fn(&CommandBench) -> bool,
+    is_done: fn(&CommandBench) -> bool,
 }
 
 fn digest_of(edition: u32) -> onyxfall_bundle::ContentDigest {
@@ -136,12 +136,12 @@
     CommandCase {
         name: "propose",
         run: |bench| bench.operator(0).propose("b.ini", &bundle(7)).map(|_| ()),
-        done: |bench| bench.operator(0).signed_bundle(&digest_of(7)).is_ok(),
+        is_done: |bench| bench.operator(0).signed_bundle(&digest_of(7)).is_ok(),
     },
     CommandCase {
         name: "sign-off",
         run: |bench| bench.operator(0).sign_off(&digest_of(1)).map(|_| ()),
-        done: |bench| {
+        is_done: |bench| {
             bench
                 .operator(0)
                 .signed_bundle(&digest_of(1))
@@ -159,7 +159,7 @@
                 .roll(&plan(digest_of(2)), |_| {})
                 .map(|_| ())
         },
-        done: |bench| {
+        is_done: |bench| {
             let head = bench.operator(0).head().unwrap();
             head.rollout.is_none() && head.regions.values().all(|r| r.content == digest_of(2))
         },
@@ -170,7 +170,7 @@
             Ok(_) | Err(OperatorError::Head(HeadError::NotInForce { .. })) => Ok(()),
             Err(e) => Err(e),
         },
-        done: |bench| {
+        is_done: |bench| {
             let head = bench.operator(0).head().unwrap();
             head.regions.values().all(|r| r.content == digest_of(1))
         },
@@ -178,7 +178,7 @@
     CommandCase {
         name: "drain",
         run: |bench| bench.operator(0).drain("s"),
-        done: |bench| {
+        is_done: |bench| {
             !bench
                 .client()
                 .list("/onyxfall/demo/drains/")
@@ -189,35 +189,35 @@
 ];
 
 #[test]
-fn every_command_under_every_fault_does_its_work_once_repeated() {
+fn every_command_under_every_fault_succeeds_when_repeated() {
     for fault in &FAULTS {
         let bench = CommandBench::new();
-        bench.signed(1);
+        bench.propose_signed(1);
         bench.operator(0).roll(&plan(digest_of(1)), |_| {}).unwrap();
-        bench.signed(2);
+        bench.propose_signed(2);
         for command in &COMMANDS {
             let before = bench.operator(0).head().unwrap().version;
             bench.faults((fault.faults)());
             let result = (command.run)(&bench);
             bench.faults(PlatformFaults::default());
-            let what = format!("{} under {}", command.name, fault.name);
-            assert_eq!(result.is_ok(), fault.succeeds, "{what}: {result:?}");
-            (command.run)(&bench).unwrap_or_else(|e| panic!("{what}, repeated: {e}"));
-            assert!((command.done)(&bench), "{what}: done");
+            let case_name = format!("{} under {}", command.name, fault.name);
+            assert_eq!(result.is_ok(), fault.succeeds, "{case_name}: {result:?}");
+            (command.run)(&bench).unwrap_or_else(|e| panic!("{case_name}, repeated: {e}"));
+            assert!((command.is_done)(&bench), "{case_name}: not in effect");
             let after = bench.operator(0).head().unwrap().version;
-            assert!(after >= before, "{what}: the version fell");
+            assert!(after >= before, "{case_name}: the version decreased");
         }
         let head = bench.operator(0).head().unwrap();
-        // Two rolls of an open and two steps each, and one withdrawal: a lost
-        // answer has not made any change happen twice.
+        // Two rollouts of one open and two steps each, and one withdrawal. A higher
+        // version means that a lost response caused a change to be applied twice.
         assert_eq!(head.version.get(), 7, "{}: {head:?}", fault.name);
     }
 }
 
 #[test]
-fn of_two_racing_operators_one_wins_and_the_other_is_told() {
+fn of_two_concurrent_rollouts_one_wins_and_the_other_gets_an_error() {
     let bench = CommandBench::new();
-    let (first, second) = (bench.signed(1), bench.signed(2));
+    let (first, second) = (bench.propose_signed(1), bench.propose_signed(2));
     let results: Vec<Result<_, OperatorError>> = std::thread::scope(|scope| {
         let roll = |index: usize, content| {
             let operator = bench.operator(index);
@@ -227,31 +227,34 @@
         threads.map(|thread| thread.join().unwrap()).into()
     });
     let head = bench.operator(0).head().unwrap();
-    assert!(head.rollout.is_none(), "no rollout is left open");
+    assert!(head.rollout.is_none(), "a rollout was left open");
     for (result, content) in results.iter().zip([first, second]) {
         if let Err(e) = result {
-            let named = matches!(e, OperatorError::Head(HeadError::RolloutOpen { content: won, .. }) if *won != content);
-            assert!(named, "the loser is told what won: {e}");
+            let names_other = matches!(e, OperatorError::Head(HeadError::RolloutOpen { content: other_content, .. }) if *other_content != content);
+            assert!(
+                names_other,
+                "the error does not name the other rollout: {e}"
+            );
         }
     }
-    assert!(results.iter().any(Result::is_ok), "one wins");
+    assert!(results.iter().any(Result::is_ok), "no rollout succeeded");
     let contents: Vec<_> = head.regions.values().map(|record| record.content).collect();
     assert_eq!(contents.len(), 2);
     assert!(
         contents.iter().all(|content| *content == contents[0]),
-        "one content everywhere"
+        "the regions have different contents"
     );
 }
 
 #[test]
-fn a_roll_that_died_goes_on_and_blocks_others_until_then() {
+fn an_interrupted_rollout_can_be_resumed_and_blocks_others_until_then() {
     let bench = CommandBench::new();
-    let (first, second) = (bench.signed(1), bench.signed(2));
-    let died = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-        let killed = |step: &RollProgress| assert_ne!(step.region.as_str(), "r0", "killed");
-        bench.operator(0).roll(&plan(first), killed)
+    let (first, second) = (bench.propose_signed(1), bench.propose_signed(2));
+    let interrupted = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
+        let interrupt = |step: &RollProgress| assert_ne!(step.region.as_str(), "r0", "interrupt");
+        bench.operator(0).roll(&plan(first), interrupt)
     }));
-    assert!(died.is_err());
+    assert!(interrupted.is_err());
     let error = bench.operator(1).roll(&plan(second), |_| {}).unwrap_err();
     assert!(
         matches!(error, OperatorError::Head(HeadError::RolloutOpen { .. })),
@@ -259,12 +262,12 @@
     );
     bench.operator(0).roll(&plan(first), |_| {}).unwrap();
     let head = bench.operator(0).head().unwrap();
-    assert_eq!(head.version.get(), 3, "one open, two steps");
+    assert_eq!(head.version.get(), 3, "one open and two steps");
     bench.operator(1).roll(&plan(second), |_| {}).unwrap();
 }
 
 #[test]
-fn too_few_signatures_and_bad_contents_are_refused() {
+fn missing_signatures_and_invalid_contents_are_rejected() {
     let bench = CommandBench::new();
     let digest = bench.operator(0).propose("b.ini", &bundle(1)).unwrap();
     bench.operator(0).sign_off(&digest).unwrap();
@@ -286,12 +289,12 @@
     let error = bench.operator(1).sign_off(&digest).unwrap_err();
     assert!(
         matches!(error, OperatorError::Malformed { .. }),
-        "tampered: {error}"
+        "replaced text: {error}"
     );
 }
 
 #[test]
-fn the_client_says_what_a_failed_call_may_have_done() {
+fn the_client_reports_whether_a_failed_call_may_have_run() {
     let bench = CommandBench::new();
     let client = bench.client();
     bench.faults(PlatformFaults {
@@ -303,7 +306,7 @@
     assert_eq!(
         client.get("k").unwrap().unwrap().value,
         "v",
-        "it had taken effect"
+        "the write took effect"
     );
     bench.faults(PlatformFaults {
         refuse_calls: 1,
@@ -314,34 +317,37 @@
         (error.verdict, error.failure),
         (RunVerdict::NotRun, PlatformFailure::RateLimited)
     );
-    let nobody = PlatformClient::new(PlatformSettings::new("http://127.0.0.1:1"));
+    let unreachable_client = PlatformClient::new(PlatformSettings::new("http://127.0.0.1:1"));
     assert_eq!(
-        nobody.put("k", "w", None).unwrap_err().verdict,
+        unreachable_client.put("k", "w", None).unwrap_err().verdict,
         RunVerdict::NotRun
     );
-    let few = PlatformClient::new(PlatformSettings {
+    let limited_client = PlatformClient::new(PlatformSettings {
         rate: 0.01,
         burst: 1,
         ..PlatformSettings::new(bench.platform.url())
     });
-    few.get("k").unwrap();
-    assert_eq!(few.get("k").unwrap_err().failure, PlatformFailure::Rationed);
+    limited_client.get("k").unwrap();
+    assert_eq!(
+        limited_client.get("k").unwrap_err().failure,
+        PlatformFailure::ClientRateLimited
+    );
 }
 
 #[test]
-fn compare_and_swap_leases_and_values_keep_their_contract() {
+fn compare_and_swap_leases_and_value_size_follow_the_contract() {
     let bench = CommandBench::new();
     let client = bench.client();
     let SwapOutcome::Swapped(revision) = client
         .compare_and_swap("k", Expected::Absent, "1", None)
         .unwrap()
     else {
-        panic!("the key was absent");
+        panic!("compare-and-swap of an absent key failed");
     };
-    let lost = client
+    let conflict = client
         .compare_and_swap("k", Expected::Absent, "2", None)
         .unwrap();
-    assert!(matches!(lost, SwapOutcome::Lost(Some(found)) if found.value == "1"));
+    assert!(matches!(conflict, SwapOutcome::Conflict(Some(found)) if found.value == "1"));
     let swapped = client
         .compare_and_swap("k", Expected::At(revision), "3", None)
         .unwrap();
@@ -350,11 +356,18 @@
     client.put("held", "x", Some(lease)).unwrap();
     assert!(client.keep_alive(lease).unwrap());
     client.revoke(lease).unwrap();
-    assert!(!client.keep_alive(lease).unwrap(), "the lease has lapsed");
-    assert_eq!(client.get("held").unwrap(), None, "and its key with it");
+    assert!(
+        !client.keep_alive(lease).unwrap(),
+        "the revoked lease is still alive"
+    );
+    assert_eq!(
+        client.get("held").unwrap(),
+        None,
+        "the key of the revoked lease still exists"
+    );
     assert!(
         client.put("k", "y", Some(lease)).is_err(),
-        "a lapsed lease holds nothing"
+        "a write with a revoked lease succeeded"
     );
     assert!(
         client
--- a/crates/operator/tests/predictions.rs
+++ b/crates/operator/tests/predictions.rs
@@ -1,4 +1,4 @@
-//! Predicted against measured times, from the logs of several processes.
+//! Tests of the comparison of predicted with measured times from logs.
 
 use expect_test::expect;
 use onyxfall_operator::PredictionReport;
@@ -15,7 +15,7 @@
 "#;
 
 #[test]
-fn ratios_are_told_by_route_and_place() {
+fn ratios_are_reported_by_route_and_place() {
     let mut report = PredictionReport::default();
     report.read(LOG.as_bytes()).unwrap();
     expect![[r"
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn logs_without_predictions_are_told_apart() {
+fn logs_without_predictions_give_an_empty_report() {
     let mut report = PredictionReport::default();
     report.read(&b"\xff\xfe nothing\n{}"[..]).unwrap();
     assert!(report.is_empty());
@@ -43,5 +43,8 @@
     let text = std::fs::read_to_string(&path).unwrap();
     std::fs::remove_file(&path).unwrap();
     assert!(text.starts_with("<svg") && text.contains("polyline"));
-    assert!(text.contains("a (r1, home)"), "a legend names the curves");
+    assert!(
+        text.contains("a (r1, home)"),
+        "the legend does not name the curve"
+    );
 }
--- a/crates/operator/tests/teams.rs
+++ b/crates/operator/tests/teams.rs
@@ -1,4 +1,4 @@
-//! What teams use, told from the metrics of several VMs.
+//! Tests of the team usage report over the metrics of several VMs.
 
 use expect_test::expect;
 use onyxfall_operator::TeamReport;
@@ -22,7 +22,7 @@
 ";
 
 #[test]
-fn usage_is_summed_and_a_vm_that_is_behind_shows() {
+fn usage_is_summed_and_a_vm_that_is_behind_is_listed() {
     let mut report = TeamReport::default();
     assert!(report.is_empty());
     report.read("10.0.0.1:9", FIRST);
--- a/crates/operator/tests/versions.rs
+++ b/crates/operator/tests/versions.rs
@@ -1,4 +1,4 @@
-//! How far roll-outs are, told from the metrics of several VMs.
+//! Tests of the rollout progress report over the metrics of several VMs.
 
 use expect_test::expect;
 use onyxfall_operator::VersionReport;
@@ -21,7 +21,7 @@
 ";
 
 #[test]
-fn steps_of_vms_and_the_counts_of_the_one_that_knows_most_are_shown() {
+fn phases_of_all_vms_and_the_maximum_counts_are_shown() {
     let mut report = VersionReport::default();
     assert!(report.is_empty());
     report.read("10.0.0.1:9", FIRST);
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,8 @@
-//! The JSON gateway client.
+//! HTTP client of the platform's service.
+//!
+//! Every call takes a token from the client's token bucket before it is sent,
+//! and fails within its timeout. A failure of a write or lease call is reported
+//! as `MayHaveRun`, unless the call was not sent or was refused.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
@@ -22,28 +26,28 @@
     Expected, KeyValue, LeaseId, PlatformStore, StoreRevision, SwapOutcome, WatchEvent,
 };
 
-/// How much of an error answer is kept.
-const DETAIL_LEN: usize = 200;
-/// Largest answer that is read.
-const MAX_ANSWER: u64 = 16 * 1024 * 1024;
+/// Number of characters of an error response that are kept.
+const MAX_DETAIL_CHARS: usize = 200;
+/// Maximum size of a response body in bytes.
+const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
 
-/// How to reach the service and how hard to use it.
+/// Address, timeouts and rate limit of a [`PlatformClient`].
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
     /// Base address, such as `http://127.0.0.1:2379`.
     pub url: String,
-    /// Time for one call.
+    /// Timeout of one call; for a watch, of its opening.
     pub timeout: Duration,
-    /// Time without a line after which a watch is given up.
+    /// Timeout for receiving data on a watch, after which the watch fails.
     pub watch_timeout: Duration,
-    /// Calls per second that this process may make.
+    /// Maximum sustained rate of calls per second by this client.
     pub rate: f64,
-    /// Calls that it may make at once.
+    /// Maximum number of calls in a burst.
     pub burst: u32,
 }
 
 impl PlatformSettings {
-    /// Settings with defaults for everything but the address.
+    /// Creates settings with defaults for everything but the address.
     pub fn new(url: impl Into<String>) -> Self {
         Self {
             url: url.into(),
@@ -60,12 +64,12 @@
     settings: PlatformSettings,
     agent: ureq::Agent,
     started: BootInstant,
-    ration: Mutex<TokenBucket>,
+    call_bucket: Mutex<TokenBucket>,
     counts: CallCounts,
 }
 
 impl PlatformClient {
-    /// A client; nothing is sent yet.
+    /// Creates a client without contacting the service.
     pub fn new(settings: PlatformSettings) -> Self {
         let agent = ureq::Agent::config_builder()
             .proxy(None)
@@ -74,29 +78,29 @@
             .timeout_connect(Some(settings.timeout))
             .build()
             .new_agent();
-        let ration = TokenBucket::new(settings.rate, f64::from(settings.burst), Moment::ZERO);
+        let call_bucket = TokenBucket::new(settings.rate, f64::from(settings.burst), Moment::ZERO);
         Self {
             settings,
             agent,
             started: BootInstant::now(),
-            ration: Mutex::new(ration),
+            call_bucket: Mutex::new(call_bucket),
             counts: CallCounts::default(),
         }
     }
 
-    /// Calls made so far.
+    /// Number of calls made so far, by class.
     pub fn counts(&self) -> &CallCounts {
         &self.counts
     }
 
-    fn take_ration(&self, call: &'static str, class: CallClass) -> Result<(), PlatformError> {
+    fn take_call_token(&self, call: &'static str, class: CallClass) -> Result<(), PlatformError> {
         let now = Moment::from_duration(self.started.elapsed());
-        let mut ration = self
-            .ration
+        let mut call_bucket = self
+            .call_bucket
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        if !ration.take(now, 1.0) {
-            let failure = PlatformFailure::Rationed;
+        if !call_bucket.take(now, 1.0) {
+            let failure = PlatformFailure::ClientRateLimited;
             return Err(PlatformError {
                 call,
                 failure,
@@ -114,7 +118,7 @@
         path: &str,
         body: &Value,
     ) -> Result<T, PlatformError> {
-        self.take_ration(call, class)?;
+        self.take_call_token(call, class)?;
         let url = format!("{}{path}", self.settings.url);
         let request = self
             .agent
@@ -123,7 +127,7 @@
             .timeout_global(Some(self.settings.timeout))
             .build()
             .header("content-type", "application/json");
-        classify_response(call, class, request.send(body.to_string()))
+        read_response(call, class, request.send(body.to_string()))
     }
 
     fn fetch<T: DeserializeOwned>(
@@ -131,7 +135,7 @@
         call: &'static str,
         path: &str,
     ) -> Result<T, PlatformError> {
-        self.take_ration(call, CallClass::Read)?;
+        self.take_call_token(call, CallClass::Read)?;
         let url = format!("{}{path}", self.settings.url);
         let request = self
             .agent
@@ -139,12 +143,12 @@
             .config()
             .timeout_global(Some(self.settings.timeout))
             .build();
-        classify_response(call, CallClass::Read, request.call())
+        read_response(call, CallClass::Read, request.call())
     }
 
     fn open_watch(&self, prefix: &str) -> Result<ureq::Body, PlatformError> {
         const CALL: &str = "watch";
-        self.take_ration(CALL, CallClass::Watch)?;
+        self.take_call_token(CALL, CallClass::Watch)?;
         let create = json!({"create_request": {
             "key": encode(prefix), "range_end": prefix_end(prefix), "progress_notify": true,
         }});
@@ -167,28 +171,29 @@
     }
 }
 
-fn classify_response<T: DeserializeOwned>(
+fn read_response<T: DeserializeOwned>(
     call: &'static str,
     class: CallClass,
-    answer: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
+    result: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
 ) -> Result<T, PlatformError> {
-    let mut response = answer.map_err(|e| unreachable_error(call, class, &e))?;
+    let mut response = result.map_err(|e| unreachable_error(call, class, &e))?;
     let status = response.status().as_u16();
     let text = response
         .body_mut()
         .with_config()
-        .limit(MAX_ANSWER)
+        .limit(MAX_RESPONSE_BYTES)
         .read_to_string()
         .map_err(|e| unreachable_error(call, class, &e))?;
     if status != 200 {
-        let detail: String = text.chars().take(DETAIL_LEN).collect();
+        let detail: String = text.chars().take(MAX_DETAIL_CHARS).collect();
         return Err(status_error(call, class, status, detail));
     }
-    serde_json::from_str(&text).map_err(|e| malformed(call, class, e.to_string()))
+    serde_json::from_str(&text).map_err(|e| malformed_error(call, class, e.to_string()))
 }
 
-/// What a failure leaves open: a read has no effect.
-fn lost_verdict(class: CallClass) -> RunVerdict {
+/// Verdict for a call that may have reached the service. Reads have no effect,
+/// so they count as not run.
+fn failure_verdict(class: CallClass) -> RunVerdict {
     match class {
         CallClass::Read | CallClass::Watch => RunVerdict::NotRun,
         CallClass::Write | CallClass::Lease => RunVerdict::MayHaveRun,
@@ -201,7 +206,7 @@
     let verdict = if refused {
         RunVerdict::NotRun
     } else {
-        lost_verdict(class)
+        failure_verdict(class)
     };
     PlatformError {
         call,
@@ -228,35 +233,35 @@
     PlatformError {
         call,
         failure,
-        verdict: lost_verdict(class),
+        verdict: failure_verdict(class),
     }
 }
 
-fn malformed(call: &'static str, class: CallClass, detail: String) -> PlatformError {
+fn malformed_error(call: &'static str, class: CallClass, detail: String) -> PlatformError {
     let failure = PlatformFailure::Malformed(detail);
     PlatformError {
         call,
         failure,
-        verdict: lost_verdict(class),
+        verdict: failure_verdict(class),
     }
 }
 
 fn key_value(call: &'static str, wire: &WireKeyValue) -> Result<KeyValue, PlatformError> {
-    let bad = |e: String| malformed(call, CallClass::Read, e);
+    let to_error = |e: String| malformed_error(call, CallClass::Read, e);
     let revision = wire.mod_revision.parse().unwrap_or(0);
     Ok(KeyValue {
-        key: decode(&wire.key).map_err(bad)?,
-        value: decode(&wire.value).map_err(bad)?,
+        key: decode(&wire.key).map_err(to_error)?,
+        value: decode(&wire.value).map_err(to_error)?,
         revision: StoreRevision(revision),
     })
 }
 
 fn watch_event(event: &WireEvent) -> Result<WatchEvent, PlatformError> {
-    let found = key_value("watch", &event.kv)?;
+    let entry = key_value("watch", &event.kv)?;
     if event.kind == "DELETE" {
-        return Ok(WatchEvent::Deleted(found.key));
+        return Ok(WatchEvent::Deleted(entry.key));
     }
-    Ok(WatchEvent::Put(found))
+    Ok(WatchEvent::Put(entry))
 }
 
 impl PlatformStore for PlatformClient {
@@ -329,13 +334,13 @@
             let revision = response.header.revision.parse().unwrap_or(0);
             return Ok(SwapOutcome::Swapped(StoreRevision(revision)));
         }
-        let found = response
+        let range = response
             .responses
             .into_iter()
             .find_map(|op| op.response_range);
-        let first = found.and_then(|range| range.kvs.into_iter().next());
+        let first = range.and_then(|range| range.kvs.into_iter().next());
         let current = first.map(|wire| key_value(CALL, &wire)).transpose()?;
-        Ok(SwapOutcome::Lost(current))
+        Ok(SwapOutcome::Conflict(current))
     }
 
     fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, PlatformError> {
@@ -345,7 +350,7 @@
             self.post(CALL, CallClass::Lease, "/v3/lease/grant", &body)?;
         let id = response.id.parse();
         id.map(LeaseId)
-            .map_err(|_| malformed(CALL, CallClass::Lease, response.id))
+            .map_err(|_| malformed_error(CALL, CallClass::Lease, response.id))
     }
 
     fn keep_alive(&self, lease: LeaseId) -> Result<bool, PlatformError> {
@@ -368,7 +373,7 @@
     fn watch(
         &self,
         prefix: &str,
-        each: &mut dyn FnMut(WatchEvent) -> ControlFlow<()>,
+        on_event: &mut dyn FnMut(WatchEvent) -> ControlFlow<()>,
     ) -> Result<(), PlatformError> {
         let body = self.open_watch(prefix)?;
         for line in BufReader::new(body.into_reader()).lines() {
@@ -381,15 +386,15 @@
                 }
             })?;
             let parsed: WatchLine = serde_json::from_str(&line)
-                .map_err(|e| malformed("watch", CallClass::Watch, e.to_string()))?;
+                .map_err(|e| malformed_error("watch", CallClass::Watch, e.to_string()))?;
             if parsed.result.canceled {
                 return Ok(());
             }
-            if parsed.result.events.is_empty() && each(WatchEvent::Idle).is_break() {
+            if parsed.result.events.is_empty() && on_event(WatchEvent::Idle).is_break() {
                 return Ok(());
             }
             for event in &parsed.result.events {
-                if each(watch_event(event)?).is_break() {
+                if on_event(watch_event(event)?).is_break() {
                     return Ok(());
                 }
             }
--- a/crates/platform/src/count.rs
+++ b/crates/platform/src/count.rs
@@ -1,25 +1,25 @@
-//! Calls counted by class; a waiting watch counts as one.
+//! Counts of calls by class; a watch counts as one call, when it is opened.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Class of a call.
+/// Class of a call, for counting and for the verdict on a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallClass {
-    /// Range, VM list, directory look-up.
+    /// Range, VM list or directory lookup.
     Read,
-    /// Put, txn, delete, directory publication.
+    /// Put, transaction, delete or directory publication.
     Write,
-    /// Grant, keep-alive, revoke.
+    /// Lease grant, keep-alive or revocation.
     Lease,
     /// Opening a watch.
     Watch,
 }
 
 impl CallClass {
-    /// Every class.
+    /// All classes.
     pub const ALL: [Self; 4] = [Self::Read, Self::Write, Self::Lease, Self::Watch];
 
-    /// Label for metrics.
+    /// Label of the class in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Read => "read",
@@ -30,7 +30,7 @@
     }
 }
 
-/// Calls made so far.
+/// Number of calls made so far, by class.
 #[derive(Debug, Default)]
 pub struct CallCounts {
     counts: [AtomicU64; 4],
@@ -41,7 +41,7 @@
         self.counts[class as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Calls of one class.
+    /// Number of calls of one class.
     pub fn get(&self, class: CallClass) -> u64 {
         self.counts[class as usize].load(Ordering::Relaxed)
     }
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,41 +1,41 @@
-//! Failures of a call, with what is known about its effect.
+//! Failures of calls, and whether a failed call may have taken effect.
 
 use onyxfall_types::RunVerdict;
 use thiserror::Error;
 
-/// Why a call failed.
+/// Reason for which a call failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PlatformFailure {
-    /// Our own ration is used up; the call was not sent.
-    #[error("own ration of calls is used up")]
-    Rationed,
-    /// The service refused the call for its rate limit.
-    #[error("refused for its rate limit")]
+    /// The client's own rate limit was exceeded; the call was not sent.
+    #[error("rate limit of the client exceeded; call not sent")]
+    ClientRateLimited,
+    /// The service rejected the call because of its rate limit.
+    #[error("rejected by the rate limit of the service")]
     RateLimited,
-    /// The service could not be reached, or the link broke.
+    /// The service could not be reached, or the connection was lost.
     #[error("unreachable: {0}")]
     Unreachable(String),
-    /// The service answered with an error.
-    #[error("answered {status}: {detail}")]
+    /// The service returned an error status.
+    #[error("status {status}: {detail}")]
     Status {
-        /// HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// Start of the answer.
+        /// Start of the response body.
         detail: String,
     },
-    /// The answer is not what the protocol says.
-    #[error("malformed answer: {0}")]
+    /// The response does not conform to the protocol.
+    #[error("malformed response: {0}")]
     Malformed(String),
 }
 
-/// A failed call and whether a write in it may have taken effect.
+/// A failed call, and whether it may have taken effect.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("platform {call}: {failure} ({verdict})")]
 pub struct PlatformError {
     /// Name of the call.
     pub call: &'static str,
-    /// Why it failed.
+    /// Reason of the failure.
     pub failure: PlatformFailure,
-    /// Whether its effect may have happened.
+    /// Whether the call may have taken effect.
     pub verdict: RunVerdict,
 }
--- a/crates/platform/src/keys.rs
+++ b/crates/platform/src/keys.rs
@@ -1,15 +1,15 @@
-//! Where things lie in the platform's service.
+//! Layout of the keys in the platform's service.
 
 use std::fmt::Display;
 
-/// Builds keys under one prefix.
+/// Builds the keys of one deployment, under a common prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformKeys {
     prefix: String,
 }
 
 impl PlatformKeys {
-    /// Keys of one deployment.
+    /// Creates the key builder of one deployment.
     ///
     /// ```
     /// let keys = onyxfall_platform::PlatformKeys::new("gallery");
@@ -21,37 +21,37 @@
         }
     }
 
-    /// The head record.
+    /// Key of the head record.
     pub fn head(&self) -> String {
         format!("{}/head", self.prefix)
     }
 
-    /// Text of a bundle.
+    /// Key of the text of a bundle.
     pub fn bundle(&self, digest: impl Display) -> String {
         format!("{}/bundles/{digest}", self.prefix)
     }
 
-    /// Prefix of a bundle's signatures.
+    /// Prefix of the keys of a bundle's signatures.
     pub fn signatures(&self, digest: impl Display) -> String {
         format!("{}/signatures/{digest}/", self.prefix)
     }
 
-    /// One operator's signature of a bundle.
+    /// Key of one operator's signature of a bundle.
     pub fn signature(&self, digest: impl Display, operator: impl Display) -> String {
         format!("{}{operator}", self.signatures(digest))
     }
 
-    /// Prefix of the operators' drains.
+    /// Prefix of the keys of all drain requests by operators.
     pub fn drains(&self) -> String {
         format!("{}/drains/", self.prefix)
     }
 
-    /// Drain of one VM or backend server.
+    /// Key of the drain request for one VM or backend server.
     pub fn drain(&self, name: impl Display) -> String {
         format!("{}{name}", self.drains())
     }
 
-    /// Lease on giving orders to one backend server.
+    /// Key of the lease that permits its holder to send orders to one backend server.
     pub fn order_lease(&self, server: impl Display) -> String {
         format!("{}/orders/{server}", self.prefix)
     }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,12 +1,13 @@
 //! Client of the platform's service.
 //!
-//! The service speaks the published JSON gateway of etcd v3 (range, put, txn
-//! with compare, leases, watch as a stream of JSON lines); beside it stand the
-//! list of VMs and the directory for clients. [`PlatformStore`] is the edge: a
-//! test bench can put its own in place.
+//! The service implements the published JSON gateway of etcd v3 (range, put, txn
+//! with compare, leases, watch as a stream of JSON lines). It also provides the
+//! list of VMs and the directory for clients. Users of this crate depend on the
+//! trait [`PlatformStore`], which tests can implement themselves.
 //!
-//! Invariants: a write whose answer was lost is reported as `MayHaveRun`, never
-//! guessed; calls are rationed by a token bucket and counted by class.
+//! Invariants: a write whose response was lost is reported as `MayHaveRun`; its
+//! outcome is never assumed. Calls are rate-limited by a token bucket and
+//! counted by class.
 
 mod client;
 mod count;
--- a/crates/platform/src/message.rs
+++ b/crates/platform/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages of the platform's service in JSON.
+//! JSON messages of the platform's service.
 
 use std::net::SocketAddr;
 
@@ -7,49 +7,49 @@
 use onyxfall_types::{CenterName, RegionName};
 use serde::{Deserialize, Serialize};
 
-/// What a VM is.
+/// Role of a machine in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmRole {
-    /// An entry VM.
+    /// An entry VM, which runs the gateway.
     Entry,
     /// A backend server.
     Backend,
 }
 
-/// State of a VM in the platform's list.
+/// State of a machine in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmState {
-    /// It runs.
+    /// The machine is running.
     Live,
-    /// It will be taken away.
+    /// The machine is about to be removed.
     Leaving,
 }
 
-/// One VM.
+/// An entry VM or backend server in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmRecord {
     /// Name of the VM or backend server.
     pub name: String,
-    /// What it is.
+    /// Role of the machine.
     pub role: VmRole,
-    /// Its state, as far as the platform knows.
+    /// Last state known to the platform.
     pub state: VmState,
-    /// Region that it stands in.
+    /// Region of the machine.
     pub region: RegionName,
-    /// Data centre that it stands in.
+    /// Data centre of the machine.
     pub center: CenterName,
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Where other entries reach it; absent for backend servers.
+    /// Address for other entry VMs; absent for backend servers.
     pub peer_address: Option<SocketAddr>,
 }
 
-/// The platform's list of VMs.
+/// The platform's list of VMs and backend servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmList {
-    /// The VMs.
+    /// Entries of the list.
     pub vms: Vec<VmRecord>,
 }
 
@@ -150,7 +150,7 @@
     String::from_utf8(bytes).map_err(|e| e.to_string())
 }
 
-/// The end of the range that holds every key with `prefix`.
+/// Returns the encoded exclusive end of the range of all keys that start with `prefix`.
 pub(crate) fn prefix_end(prefix: &str) -> String {
     let mut bytes = prefix.as_bytes().to_vec();
     while let Some(last) = bytes.pop() {
--- a/crates/platform/src/store.rs
+++ b/crates/platform/src/store.rs
@@ -1,4 +1,4 @@
-//! The edge to the platform's service.
+//! Interface to the platform's service.
 
 use std::collections::BTreeMap;
 use std::ops::ControlFlow;
@@ -7,58 +7,58 @@
 use crate::error::PlatformError;
 use crate::message::{VmList, VmRecord};
 
-/// Revision of the store at which a key last changed; grows with each write.
+/// Revision of the store at which a key was last changed; increases with each write.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StoreRevision(pub i64);
 
-/// A lease that the service granted.
+/// Id of a lease granted by the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseId(pub i64);
 
-/// A key with its value.
+/// A key with its value and revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyValue {
     /// The key.
     pub key: String,
-    /// The value, at most a megabyte.
+    /// The value, at most 1 MiB.
     pub value: String,
-    /// Revision of its last change.
+    /// Revision of the last change of the key.
     pub revision: StoreRevision,
 }
 
-/// What a compare-and-swap expects to find.
+/// Precondition of a compare-and-swap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expected {
-    /// No such key.
+    /// The key does not exist.
     Absent,
-    /// The key at this revision.
+    /// The key was last changed at this revision.
     At(StoreRevision),
 }
 
-/// Outcome of a compare-and-swap that was answered.
+/// Outcome of a compare-and-swap whose response was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SwapOutcome {
-    /// The value was written.
+    /// The value was written, at this revision.
     Swapped(StoreRevision),
-    /// Something else was found.
-    Lost(Option<KeyValue>),
+    /// The precondition was not met; holds the current entry, if the key exists.
+    Conflict(Option<KeyValue>),
 }
 
-/// A change seen by a watch.
+/// Event reported by a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
     /// A key was written.
     Put(KeyValue),
     /// A key was deleted.
     Deleted(String),
-    /// Nothing changed for a while; the watch is alive.
+    /// The service reported progress without a change; the watch is still active.
     Idle,
 }
 
-/// What the system asks of the platform's service.
+/// Operations of the platform's service.
 ///
-/// Every call fails within its timeout, and a failed write tells through its
-/// verdict whether it may have taken effect.
+/// Every call fails within its timeout. The verdict of a failed write states
+/// whether the write may have taken effect.
 pub trait PlatformStore: Send + Sync {
     /// Reads one key.
     ///
@@ -84,7 +84,7 @@
     /// The call failed; the deletion may have taken effect.
     fn delete(&self, key: &str) -> Result<(), PlatformError>;
 
-    /// Writes a key if it is as expected.
+    /// Writes a key, bound to a lease if one is given, if it meets `expected`.
     ///
     /// # Errors
     /// The call failed; the write may have taken effect.
@@ -102,41 +102,42 @@
     /// The call failed.
     fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, PlatformError>;
 
-    /// Prolongs a lease; `false` if it has lapsed.
+    /// Renews a lease; returns `false` if it has expired.
     ///
     /// # Errors
     /// The call failed.
     fn keep_alive(&self, lease: LeaseId) -> Result<bool, PlatformError>;
 
-    /// Ends a lease.
+    /// Revokes a lease.
     ///
     /// # Errors
     /// The call failed.
     fn revoke(&self, lease: LeaseId) -> Result<(), PlatformError>;
 
-    /// Reports changes under a prefix until `each` breaks or the call ends.
+    /// Reports changes under a prefix until `on_event` breaks or the service ends
+    /// the watch.
     ///
     /// # Errors
-    /// The watch could not be opened or broke.
+    /// The watch could not be opened, or its connection was lost.
     fn watch(
         &self,
         prefix: &str,
-        each: &mut dyn FnMut(WatchEvent) -> ControlFlow<()>,
+        on_event: &mut dyn FnMut(WatchEvent) -> ControlFlow<()>,
     ) -> Result<(), PlatformError>;
 
-    /// The lagging list of VMs: a hint, not the truth.
+    /// Returns the list of VMs, which lags behind their actual state and is only a hint.
     ///
     /// # Errors
     /// The call failed.
     fn vm_list(&self) -> Result<VmList, PlatformError>;
 
-    /// Publishes the entries of a data centre in the directory for clients.
+    /// Publishes the entry VMs of a data centre in the directory for clients.
     ///
     /// # Errors
     /// The call failed.
     fn publish(&self, center: &str, entries: &[VmRecord]) -> Result<(), PlatformError>;
 
-    /// The directory for clients: entries by data centre.
+    /// Returns the directory for clients: entry VMs by data centre.
     ///
     /// # Errors
     /// The call failed.
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -1,4 +1,4 @@
-//! Time of one decision at the planned size, and its slope over the fleet.
+//! Time of one decision at the planned size, and how it grows with the fleet.
 //!
 //! The data centre has 135 servers; the fleet around it grows to 12,000 servers
 //! in 89 data centres of 44 regions, with 37 models.
