--- a/crates/policy/src/bucket.rs
+++ b/crates/policy/src/bucket.rs
@@ -1,12 +1,12 @@
-//! Token bucket: a sustained rate with a burst.
+//! Token bucket: a sustained rate and a burst size.
 
 use std::time::Duration;
 
 use crate::moment::Moment;
 
-/// A bucket that fills at a rate up to its burst.
+/// A token bucket that refills at a constant rate up to its burst size.
 ///
-/// Invariant: `0 <= tokens <= burst`, also when moments come out of order.
+/// Invariant: `0 <= tokens <= burst`, even if moments arrive out of order.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     rate: f64,
@@ -16,7 +16,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket; `rate` in tokens per second.
+    /// Creates a full bucket; `rate` is in tokens per second.
     pub fn new(rate: f64, burst: f64, now: Moment) -> Self {
         debug_assert!(rate >= 0.0 && burst >= 0.0);
         Self {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Takes `amount` tokens if they are there.
+    /// Takes `amount` tokens if the bucket has them; returns whether it did.
     ///
     /// ```
     /// use onyxfall_policy::{Moment, TokenBucket};
@@ -46,7 +46,7 @@
         true
     }
 
-    /// Time until `amount` tokens are there; a day if they never are.
+    /// Time until the bucket has `amount` tokens; a day if it never will.
     pub fn wait(&mut self, now: Moment, amount: f64) -> Duration {
         const NEVER: Duration = Duration::from_hours(24);
         self.fill(now);
@@ -60,7 +60,7 @@
         Duration::from_secs_f64((missing / self.rate).min(NEVER.as_secs_f64()))
     }
 
-    /// Changes the rate and the burst, keeping what is there.
+    /// Changes the rate and the burst size and keeps the tokens that fit.
     pub fn resize(&mut self, rate: f64, burst: f64, now: Moment) {
         self.fill(now);
         self.rate = rate;
--- a/crates/policy/src/center.rs
+++ b/crates/policy/src/center.rs
@@ -1,10 +1,10 @@
-//! Other data centres as this VM sees them: free capacity, grants, distance.
+//! This VM's view of the other data centres: free capacity, grants, round-trip times.
 //!
-//! A data centre tells each other one how many of its requests a model may have
-//! under way there: the grant. Many senders so cannot stampede one receiver.
-//! The entries of the sending data centre split a grant by rank, so it is not
-//! spent twice. Invariant: requests that this VM has under way in a data centre
-//! never exceed its part of the grant when the last one was sent.
+//! A data centre sends each other one a grant per model: the number of requests
+//! that the other may have open there. Grants keep many senders from overloading
+//! one receiver at once. The entries of the sending data centre split a grant by
+//! rank, so it is not spent twice. Invariant: when this VM forwards a request, its
+//! open requests in the target data centre do not exceed its share of the grant.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,41 +13,42 @@
 
 use crate::moment::Moment;
 
-/// A digest older than this says nothing.
-const DIGEST_LIFE: Duration = Duration::from_secs(6);
+/// Maximum age of a usable digest.
+const DIGEST_TTL: Duration = Duration::from_secs(6);
 const RTT_GAIN: f64 = 0.2;
-/// Pause after a data centre refused or failed a request.
+/// Pause in forwarding to a data centre after it refused or failed a request.
 const REFUSED_PAUSE: Duration = Duration::from_millis(400);
 
-/// What a data centre says of one model.
+/// Report of a data centre on one model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ModelDigest {
     /// The model.
     pub model: ModelId,
-    /// Free slots, less its own reserve.
+    /// Free slots, less the data centre's own reserve.
     pub free: u32,
-    /// Expected wait there.
+    /// Expected wait in the data centre.
     pub wait: Duration,
-    /// Requests that we may have under way there.
+    /// Requests that the receiver of the digest may have open in the data centre.
     pub grant: u32,
 }
 
-/// What a data centre says of itself to us.
+/// Report that a data centre sends to another one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CenterDigest {
-    /// The data centre.
+    /// The data centre that sent the digest.
     pub center: CenterId,
-    /// Life and number of the digest; older ones are ignored.
+    /// Sequence number, from the sender's incarnation and the digest's number; lower
+    /// ones are ignored.
     pub sequence: u64,
-    /// Per model.
+    /// Reports by model.
     pub models: Vec<ModelDigest>,
 }
 
-/// A data centre as seen from here.
+/// This VM's view of a data centre.
 #[derive(Clone, Debug)]
 pub struct CenterView {
     sequence: u64,
-    heard: Option<Moment>,
+    received_at: Option<Moment>,
     models: BTreeMap<ModelId, ModelDigest>,
     open: BTreeMap<ModelId, u32>,
     rtt: Duration,
@@ -58,7 +59,7 @@
     fn new(rtt: Duration) -> Self {
         Self {
             sequence: 0,
-            heard: None,
+            received_at: None,
             models: BTreeMap::new(),
             open: BTreeMap::new(),
             rtt,
@@ -66,27 +67,27 @@
         }
     }
 
-    /// Round trip to it.
+    /// Round-trip time to the data centre.
     pub fn rtt(&self) -> Duration {
         self.rtt
     }
 
-    /// Our own requests under way there.
+    /// Open requests of this VM in the data centre.
     pub fn own_open(&self, model: ModelId) -> u32 {
         self.open.get(&model).copied().unwrap_or(0)
     }
 
-    /// What it said of a model, unless that is too old.
+    /// The data centre's report on a model, unless it is too old.
     pub fn model(&self, now: Moment, model: ModelId) -> Option<&ModelDigest> {
-        let heard = self.heard?;
-        if now - heard > DIGEST_LIFE {
+        let received_at = self.received_at?;
+        if now - received_at > DIGEST_TTL {
             return None;
         }
         self.models.get(&model)
     }
 }
 
-/// All other data centres.
+/// Views of the data centres of a bundle.
 #[derive(Clone, Debug)]
 pub struct CenterTable {
     views: EntityMap<CenterId, CenterView>,
@@ -95,7 +96,7 @@
 }
 
 impl CenterTable {
-    /// A table with the bundle's round trips as a start.
+    /// Creates a table with the bundle's round-trip times as initial values.
     pub fn new(rtts: impl IntoIterator<Item = Duration>) -> Self {
         let views = rtts.into_iter().map(CenterView::new).collect();
         Self {
@@ -112,18 +113,18 @@
         self.members = members;
     }
 
-    /// A data centre's view.
+    /// View of a data centre.
     pub fn view(&self, center: CenterId) -> &CenterView {
         &self.views[center]
     }
 
-    /// Every data centre's view.
+    /// Views of all data centres.
     pub fn iter(&self) -> impl Iterator<Item = (CenterId, &CenterView)> {
         self.views.iter()
     }
 
-    /// Takes a digest; an older one than the last is ignored.
-    pub fn hear(&mut self, now: Moment, digest: &CenterDigest) {
+    /// Applies a digest, unless its sequence number is lower than the last one's.
+    pub fn receive(&mut self, now: Moment, digest: &CenterDigest) {
         if self.views.get(digest.center).is_none() {
             return;
         }
@@ -132,7 +133,7 @@
             return;
         }
         view.sequence = digest.sequence;
-        view.heard = Some(now);
+        view.received_at = Some(now);
         view.models = digest
             .models
             .iter()
@@ -140,7 +141,7 @@
             .collect();
     }
 
-    /// Takes a measured round trip.
+    /// Records a measured round-trip time.
     pub fn note_rtt(&mut self, center: CenterId, rtt: Duration) {
         if self.views.get(center).is_some() {
             let view = &mut self.views[center];
@@ -149,7 +150,7 @@
         }
     }
 
-    /// What is left of this VM's part of a grant.
+    /// Unused remainder of this VM's share of a grant.
     ///
     /// ```
     /// use onyxfall_policy::{CenterDigest, CenterTable, ModelDigest, Moment};
@@ -158,7 +159,7 @@
     /// let (center, model) = (CenterId::from_index(0), ModelId::from_index(0));
     /// let mut table = CenterTable::new([Duration::from_millis(40)]);
     /// let models = vec![ModelDigest { model, free: 4, wait: Duration::ZERO, grant: 3 }];
-    /// table.hear(Moment::ZERO, &CenterDigest { center, sequence: 1, models });
+    /// table.receive(Moment::ZERO, &CenterDigest { center, sequence: 1, models });
     /// assert_eq!(table.grant_left(Moment::ZERO, center, model), 3);
     /// table.start(center, model);
     /// assert_eq!(table.grant_left(Moment::ZERO, center, model), 2);
@@ -169,16 +170,16 @@
             return 0;
         }
         let grant = view.model(now, model).map_or(0, |digest| digest.grant);
-        self.own_part(grant, center)
+        self.own_share(grant, center)
             .saturating_sub(view.own_open(model))
     }
 
-    /// Notes that a request is sent there.
+    /// Records that a request is forwarded to a data centre.
     pub fn start(&mut self, center: CenterId, model: ModelId) {
         *self.views[center].open.entry(model).or_default() += 1;
     }
 
-    /// Notes that a request sent there ended; `refused` pauses the sending.
+    /// Records the end of a forwarded request; `refused` pauses forwarding there.
     pub fn end(&mut self, now: Moment, center: CenterId, model: ModelId, refused: bool) {
         let view = &mut self.views[center];
         if let Some(open) = view.open.get_mut(&model) {
@@ -190,7 +191,7 @@
         }
     }
 
-    fn own_part(&self, grant: u32, center: CenterId) -> u32 {
+    fn own_share(&self, grant: u32, center: CenterId) -> u32 {
         let members = u32::try_from(self.members).unwrap_or(u32::MAX);
         let turn = (self.rank + center.index()) % self.members;
         let extra = (turn as u64) < u64::from(grant % members);
--- a/crates/policy/src/choose.rs
+++ b/crates/policy/src/choose.rs
@@ -1,9 +1,9 @@
 //! Choice of a backend server within the data centre.
 //!
 //! A few candidates are scored by expected time to completion: the prefix's
-//! rendezvous choices and some drawn at random. Drawing keeps several entries
-//! with the same lagging reports from all choosing the same server. When no
-//! candidate has room, all servers of the model are looked at.
+//! rendezvous choices and some drawn at random. Random candidates keep several
+//! entries with the same lagging reports from all choosing the same server. When
+//! no candidate has room, all servers of the model are scored.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use crate::prefix::{PrefixKey, PrefixTable};
 use crate::server::ServerState;
 
-/// Pools up to this size are scored whole.
+/// Pools up to this size are scored completely.
 const SMALL_POOL: usize = 6;
 const RANDOM_CANDIDATES: usize = 4;
 const PREFIX_CANDIDATES: usize = 2;
@@ -24,13 +24,13 @@
 pub struct ServerChoice {
     /// The server.
     pub server: ServerId,
-    /// Expected service time there, cache hits counted in.
+    /// Expected service time on the server, less expected cache hits.
     pub service: Duration,
-    /// Expected time to completion.
+    /// Expected time to completion, with the wait in the server.
     pub expected: Duration,
 }
 
-/// What a choice looks at.
+/// Inputs of a choice.
 pub(crate) struct ChooseContext<'a> {
     pub(crate) now: Moment,
     pub(crate) pool: &'a [ServerId],
@@ -38,7 +38,7 @@
     pub(crate) prefixes: &'a PrefixTable,
     pub(crate) members: usize,
     pub(crate) excluded: &'a [ServerId],
-    /// Whether the request may queue in a server, which honours its priority.
+    /// Whether the request may queue in a server, which schedules by priority.
     pub(crate) eager: bool,
     pub(crate) prefix: Option<PrefixKey>,
     pub(crate) service: Duration,
@@ -46,7 +46,8 @@
     pub(crate) cost_weight: f64,
 }
 
-/// Rank of a server for a prefix; the highest is its rendezvous choice.
+/// Rank of a server for a prefix; the server with the highest rank is the
+/// prefix's rendezvous choice.
 ///
 /// ```
 /// use onyxfall_policy::{PrefixKey, rendezvous_rank};
@@ -63,7 +64,7 @@
 }
 
 impl ChooseContext<'_> {
-    /// The best server with room, if any has.
+    /// The best server with room; `None` if no server has any.
     pub(crate) fn choose(&self, rng: &mut impl Rng) -> Option<ServerChoice> {
         if self.pool.len() <= SMALL_POOL {
             return self.best(self.pool.iter().copied(), rng);
@@ -102,7 +103,8 @@
             .map(|(_, _, server)| self.choice(server))
     }
 
-    /// Seconds: expected completion plus weighted work of a cold prefix.
+    /// Score in seconds: expected time to completion plus weighted service time,
+    /// which is longer for a cold prefix. Lower is better.
     fn score(&self, server: ServerId) -> f64 {
         let choice = self.choice(server);
         choice.expected.as_secs_f64() + self.cost_weight * choice.service.as_secs_f64()
--- a/crates/policy/src/circuit.rs
+++ b/crates/policy/src/circuit.rs
@@ -1,8 +1,8 @@
 //! Circuit breaker per backend server.
 //!
-//! Closed: attempts pass and outcomes are counted. Open: none passes for a
-//! while that doubles with each failed probe. Half-open: one probe at a time.
-//! Invariant: at most one probe is under way.
+//! Closed: attempts pass and outcomes are counted. Open: no attempt passes for a
+//! pause that doubles with each failed probe. Half-open: one probe passes at a
+//! time. Invariant: at most one probe is under way.
 
 use std::time::Duration;
 
@@ -15,12 +15,12 @@
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
 const LAST_PAUSE: Duration = Duration::from_secs(15);
 
-/// State of a breaker.
+/// State of a circuit breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CircuitState {
     /// Attempts pass.
     Closed,
-    /// No attempt passes before the moment.
+    /// No attempt passes until the pause ends.
     Open {
         /// End of the pause.
         until: Moment,
@@ -49,7 +49,7 @@
 }
 
 impl CircuitBreaker {
-    /// A closed breaker.
+    /// Creates a closed breaker.
     pub fn new() -> Self {
         Self {
             state: CircuitState::Closed,
@@ -74,15 +74,18 @@
         self.state == CircuitState::Closed
     }
 
-    /// Notes that an attempt starts.
+    /// Records the start of an attempt.
     pub fn start(&mut self, now: Moment) {
-        debug_assert!(self.allows(now), "an attempt started against the breaker");
+        debug_assert!(
+            self.allows(now),
+            "an attempt started while the breaker allows none"
+        );
         if !self.is_closed() {
             self.state = CircuitState::HalfOpen { probing: true };
         }
     }
 
-    /// Notes a success; returns whether it closed the breaker.
+    /// Records a success; returns whether it closed the breaker.
     pub fn succeed(&mut self) -> bool {
         self.consecutive = 0;
         self.count(0.0);
@@ -93,7 +96,7 @@
         was_open
     }
 
-    /// Notes a failure; returns whether it opened the breaker.
+    /// Records a failure; returns whether it opened a closed breaker.
     pub fn fail(&mut self, now: Moment) -> bool {
         self.consecutive += 1;
         self.count(1.0);
@@ -115,7 +118,8 @@
         }
     }
 
-    /// Opens the breaker without an attempt: the server has fallen silent.
+    /// Opens the breaker without a failed attempt, for a server that became
+    /// unresponsive.
     pub fn trip(&mut self, now: Moment) {
         if self.is_closed() {
             self.state = CircuitState::Open {
@@ -124,7 +128,8 @@
         }
     }
 
-    /// Notes an attempt that says nothing about the server (cancelled).
+    /// Records the end of an attempt whose outcome implies nothing about the server,
+    /// such as a cancelled one. Allows the next probe if the breaker is half-open.
     pub fn forget(&mut self) {
         if let CircuitState::HalfOpen { .. } = self.state {
             self.state = CircuitState::HalfOpen { probing: false };
--- a/crates/policy/src/drain.rs
+++ b/crates/policy/src/drain.rs
@@ -1,27 +1,27 @@
-//! Backend servers that are leaving.
+//! Backend servers that are draining.
 //!
-//! Four sources tell of a drain; the earliest wins and none takes it back. Only
-//! a later incarnation of the same server ends it.
+//! Four sources report drains; the first report takes effect and no source can
+//! revoke it. Only a later incarnation of the same server ends a drain.
 
 use std::collections::BTreeMap;
 
 use onyxfall_types::{Incarnation, ServerName};
 
-/// Where the news of a drain came from.
+/// Source of a drain report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainSource {
-    /// The platform's lagging list.
+    /// The platform's list of servers, which lags.
     PlatformList,
-    /// An operator's drain.
+    /// A drain ordered by an operator.
     Operator,
-    /// The server's own report or refusal.
+    /// The server's own load report or refusal.
     Server,
     /// Another entry of the data centre.
     Peer,
 }
 
 impl DrainSource {
-    /// Label for logs and metrics.
+    /// Label of the source in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::PlatformList => "platform-list",
@@ -32,30 +32,31 @@
     }
 }
 
-/// Drains known so far, by server name.
+/// Known drains, by server name.
 #[derive(Clone, Debug, Default)]
 pub struct DrainTable {
     drains: BTreeMap<ServerName, Incarnation>,
 }
 
 impl DrainTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that an incarnation of a server is leaving; returns whether that is news.
+    /// Records that an incarnation of a server is draining; returns whether that was
+    /// unknown.
     ///
     /// ```
     /// use onyxfall_policy::DrainTable;
     /// use onyxfall_types::Incarnation;
     /// let mut table = DrainTable::new();
     /// let name = "s1".parse().unwrap();
-    /// assert!(table.note(&name, Incarnation::new(1)));
+    /// assert!(table.record(&name, Incarnation::new(1)));
     /// assert!(table.is_draining(&name, Incarnation::new(1)));
     /// assert!(!table.is_draining(&name, Incarnation::new(2)));
     /// ```
-    pub fn note(&mut self, server: &ServerName, incarnation: Incarnation) -> bool {
+    pub fn record(&mut self, server: &ServerName, incarnation: Incarnation) -> bool {
         match self.drains.get_mut(server) {
             Some(known) if *known >= incarnation => false,
             Some(known) => {
@@ -69,14 +70,14 @@
         }
     }
 
-    /// Whether that incarnation of the server is leaving.
+    /// Whether an incarnation of a server is draining.
     pub fn is_draining(&self, server: &ServerName, incarnation: Incarnation) -> bool {
         self.drains
             .get(server)
             .is_some_and(|drained| incarnation <= *drained)
     }
 
-    /// Every drain, for the digest to peers.
+    /// All known drains, for the digest to peers.
     pub fn iter(&self) -> impl Iterator<Item = (&ServerName, Incarnation)> {
         self.drains
             .iter()
--- a/crates/policy/src/estimate.rs
+++ b/crates/policy/src/estimate.rs
@@ -1,7 +1,8 @@
 //! Learned service time of a kind.
 //!
-//! The bundle's figure is a prior. Samples near the estimate move it quickly,
-//! far slower ones barely, so that one slow server does not make all look fast.
+//! The service time in the bundle is the prior. Samples near the estimate move it
+//! quickly, much slower ones barely. Otherwise one slow server would raise the
+//! estimate until all servers look fast.
 
 use std::time::Duration;
 
@@ -16,19 +17,19 @@
 }
 
 impl ServiceEstimate {
-    /// An estimate that starts at the declared time.
+    /// Creates an estimate that starts at the declared service time.
     pub fn new(prior: Duration) -> Self {
         Self {
             seconds: prior.as_secs_f64().max(1e-6),
         }
     }
 
-    /// The estimate.
+    /// The current estimate.
     pub fn get(&self) -> Duration {
         Duration::from_secs_f64(self.seconds)
     }
 
-    /// Notes a sample and returns how many times the estimate it took.
+    /// Records a sample and returns its ratio to the estimate.
     ///
     /// ```
     /// use onyxfall_policy::ServiceEstimate;
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -1,12 +1,12 @@
 //! Concurrency limit per backend server, adapted to measured latency.
 //!
-//! Additive increase while answers come as fast as expected, multiplicative
-//! decrease while they come much slower. Invariant: `min <= limit <= max`.
+//! Additive increase while responses are about as fast as expected, multiplicative
+//! decrease while they are much slower. Invariant: `min <= limit <= max`.
 
 const SLOW_RATIO: f64 = 2.5;
 const DECREASE: f64 = 0.9;
 
-/// An adaptive limit.
+/// Adaptive concurrency limit of one server.
 #[derive(Clone, Debug)]
 pub struct AdaptiveLimit {
     limit: f64,
@@ -15,7 +15,7 @@
 }
 
 impl AdaptiveLimit {
-    /// A limit that starts at `max`, the server's declared slots.
+    /// Creates a limit that starts at `max`, the server's declared slots.
     pub fn new(max: u32) -> Self {
         let max = f64::from(max.max(1));
         Self {
@@ -25,12 +25,12 @@
         }
     }
 
-    /// The limit now.
+    /// The current limit.
     pub fn get(&self) -> f64 {
         self.limit
     }
 
-    /// Notes an answer that took `ratio` times the expected time.
+    /// Adapts the limit to a response that took `ratio` times the expected time.
     ///
     /// ```
     /// use onyxfall_policy::AdaptiveLimit;
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -1,13 +1,14 @@
-//! Which entry VMs there are, as this VM sees it.
+//! This VM's view of the entry VMs.
 //!
-//! Heartbeats are the truth, the platform's list a hint. A member not heard of
-//! for a while is suspected, later gone. Incarnations order all news about a
-//! VM: older news is ignored, and a VM that hears of a later incarnation of its
-//! own name takes one later still, so that no clock is compared.
+//! Heartbeats are authoritative, the platform's list is only a hint. A member
+//! without a heartbeat for a while is suspected, later gone. Incarnations order
+//! all updates about a VM: an older incarnation is ignored, and a VM that receives
+//! a later incarnation under its own name adopts one later still, so that no
+//! clocks are compared.
 //!
-//! Duties that double work does not harm (observing a server, speaking for the
-//! data centre) go by rendezvous hashing over the members seen alive; two VMs
-//! that disagree for a moment both do them.
+//! Duties that may safely run twice (observing a server, representing the data
+//! centre) are assigned by rendezvous hashing over the members that are alive. Two
+//! VMs with different views may both perform a duty for a short time.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,57 +21,57 @@
 /// State of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// Named by the platform's list or the settings, not heard yet.
+    /// Named by the platform's list or the settings; no heartbeat received yet.
     Hinted,
-    /// Heard of lately.
+    /// A heartbeat was received recently.
     Alive,
-    /// Not heard of for a while.
+    /// No heartbeat for the suspicion timeout.
     Suspect,
-    /// Stopping by plan.
+    /// In a planned shutdown.
     Leaving,
-    /// Not heard of for long.
+    /// No heartbeat for the gone timeout.
     Gone,
 }
 
-/// What a heartbeat says of a VM.
+/// Content of a VM's heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberHeartbeat {
     /// Name of the VM.
     pub name: VmName,
-    /// Its data centre.
+    /// Data centre of the VM.
     pub center: CenterName,
-    /// Its region.
+    /// Region of the VM.
     pub region: RegionName,
-    /// Its life.
+    /// Incarnation of the VM.
     pub incarnation: Incarnation,
-    /// Whether it is stopping by plan.
+    /// Whether the VM is in a planned shutdown.
     pub leaving: bool,
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Where other entries reach it.
+    /// Address for other entries.
     pub peer_address: SocketAddr,
 }
 
-/// A member as seen from here.
+/// This VM's view of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VmMember {
-    /// What its last heartbeat said.
+    /// Last heartbeat of the member.
     pub beat: MemberHeartbeat,
-    /// Its state.
+    /// State of the member.
     pub state: MemberState,
-    /// When it was last heard of.
-    pub heard: Moment,
+    /// When the last heartbeat, update or hint about the member was received.
+    pub received_at: Moment,
 }
 
-/// When silence counts.
+/// Timeouts of unresponsive members.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberTiming {
-    /// Silence until suspicion.
+    /// Time without a heartbeat until a member is suspected.
     pub suspect_after: Duration,
-    /// Silence until it counts as gone.
+    /// Time without a heartbeat until a member is gone.
     pub gone_after: Duration,
-    /// Silence until it is forgotten.
-    pub forget_after: Duration,
+    /// Time without a heartbeat until a gone member is evicted.
+    pub evict_after: Duration,
 }
 
 impl Default for MemberTiming {
@@ -78,12 +79,12 @@
         Self {
             suspect_after: Duration::from_secs(3),
             gone_after: Duration::from_secs(10),
-            forget_after: Duration::from_mins(10),
+            evict_after: Duration::from_mins(10),
         }
     }
 }
 
-/// The members of the system, this VM included.
+/// The members of the system, including this VM.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     own: MemberHeartbeat,
@@ -92,7 +93,7 @@
 }
 
 impl MemberTable {
-    /// A table that knows only this VM.
+    /// Creates a table with only this VM.
     pub fn new(own: MemberHeartbeat, timing: MemberTiming) -> Self {
         Self {
             own,
@@ -101,20 +102,21 @@
         }
     }
 
-    /// What this VM's own heartbeat says.
+    /// Content of this VM's own heartbeat.
     pub fn own(&self) -> &MemberHeartbeat {
         &self.own
     }
 
-    /// Marks this VM as leaving.
+    /// Marks this VM as being in a planned shutdown.
     pub fn leave(&mut self) {
         self.own.leaving = true;
     }
 
-    /// Takes a heartbeat; returns whether it changed a state.
+    /// Applies a heartbeat; returns whether it changed a member's state or
+    /// incarnation.
     pub fn hear(&mut self, now: Moment, beat: &MemberHeartbeat) -> bool {
         if beat.name == self.own.name {
-            return self.hear_own(beat.incarnation);
+            return self.receive_own(beat.incarnation);
         }
         let state = if beat.leaving {
             MemberState::Leaving
@@ -125,7 +127,7 @@
             let member = VmMember {
                 beat: beat.clone(),
                 state,
-                heard: now,
+                received_at: now,
             };
             self.members.insert(beat.name.clone(), member);
             return true;
@@ -133,21 +135,21 @@
         if beat.incarnation < known.beat.incarnation {
             return false;
         }
-        let same_life = beat.incarnation == known.beat.incarnation;
-        if same_life && known.state == MemberState::Leaving {
-            known.heard = now;
+        let is_same_incarnation = beat.incarnation == known.beat.incarnation;
+        if is_same_incarnation && known.state == MemberState::Leaving {
+            known.received_at = now;
             return false;
         }
-        let changed = known.state != state || !same_life;
+        let changed = known.state != state || !is_same_incarnation;
         *known = VmMember {
             beat: beat.clone(),
             state,
-            heard: now,
+            received_at: now,
         };
         changed
     }
 
-    /// The serving members of a data centre, this VM included, by name.
+    /// The serving members of a data centre, including this VM, ordered by name.
     pub fn serving_in<'a>(&'a self, center: &'a CenterName) -> Vec<&'a MemberHeartbeat> {
         let own = (self.own.center == *center && !self.own.leaving).then_some(&self.own);
         let mut beats: Vec<&MemberHeartbeat> = self
@@ -159,7 +161,7 @@
         beats
     }
 
-    /// Hash of [`Self::serving_in`]; equal views have equal hashes.
+    /// Hash of [`Self::serving_in`]; equal lists have equal hashes.
     pub fn serving_hash(&self, center: &CenterName) -> u64 {
         let texts: Vec<String> = self
             .serving_in(center)
@@ -175,19 +177,20 @@
         stable_hash(&parts)
     }
 
-    /// Takes word from another data centre that its members are as last told.
+    /// Applies a message of another data centre that its list of members is unchanged,
+    /// which refreshes its alive members.
     pub fn receive_center(&mut self, now: Moment, center: &CenterName) {
         let members = self
             .members
             .values_mut()
             .filter(|m| m.beat.center == *center);
         for member in members.filter(|m| m.state == MemberState::Alive) {
-            member.heard = now;
+            member.received_at = now;
         }
     }
 
-    /// Takes the whole list of another data centre's serving members; whoever
-    /// is not in it has left or died, unless a later list names it again.
+    /// Applies the complete list of another data centre's serving members. A member
+    /// that is not on the list becomes suspect until a later list names it again.
     pub fn receive_members(&mut self, now: Moment, center: &CenterName, beats: &[MemberHeartbeat]) {
         let listed = |name: &VmName| beats.iter().any(|beat| beat.name == *name);
         let members = self
@@ -202,10 +205,10 @@
         }
     }
 
-    /// Takes a VM that the platform's list, the settings or another VM names, if
-    /// it is unknown, or was not heard of for long and is of another region: VMs
-    /// of other regions need not be heard directly, so that the word of others is
-    /// all that is known of them.
+    /// Adds a VM named by the platform's list, the settings or another VM as
+    /// hinted. A known VM is replaced only if it is hinted or gone and is in another
+    /// region: VMs of other regions need not send heartbeats to this VM directly, so
+    /// that hints may be the only information about them.
     pub fn hint(&mut self, now: Moment, beat: &MemberHeartbeat) {
         if beat.name == self.own.name {
             return;
@@ -213,44 +216,44 @@
         let hinted = VmMember {
             beat: beat.clone(),
             state: MemberState::Hinted,
-            heard: now,
+            received_at: now,
         };
         let Some(known) = self.members.get_mut(&beat.name) else {
             self.members.insert(beat.name.clone(), hinted);
             return;
         };
-        let is_unheard = matches!(known.state, MemberState::Hinted | MemberState::Gone);
-        let is_far = beat.region != self.own.region;
-        if is_unheard && is_far && beat.incarnation >= known.beat.incarnation {
+        let is_unconfirmed = matches!(known.state, MemberState::Hinted | MemberState::Gone);
+        let is_remote = beat.region != self.own.region;
+        if is_unconfirmed && is_remote && beat.incarnation >= known.beat.incarnation {
             *known = hinted;
         }
     }
 
-    /// Takes "leaving" from the platform's list.
+    /// Applies a planned shutdown reported by the platform's list.
     pub fn hint_leaving(&mut self, name: &VmName) {
         if let Some(member) = self.members.get_mut(name) {
             member.state = member.state.max(MemberState::Leaving);
         }
     }
 
-    /// Lets silence count; returns the names whose state changed.
+    /// Applies the timeouts; returns the names of members whose state changed.
     pub fn tick(&mut self, now: Moment) -> Vec<VmName> {
         let timing = self.timing;
         let mut changed = Vec::new();
         for (name, member) in &mut self.members {
-            let next = silent_state(member.state, now - member.heard, timing);
+            let next = timed_out_state(member.state, now - member.received_at, timing);
             if next != member.state {
                 member.state = next;
                 changed.push(name.clone());
             }
         }
         self.members.retain(|_, member| {
-            member.state != MemberState::Gone || now - member.heard < timing.forget_after
+            member.state != MemberState::Gone || now - member.received_at < timing.evict_after
         });
         changed
     }
 
-    /// Every member but this VM.
+    /// All members except this VM.
     pub fn others(&self) -> impl Iterator<Item = &VmMember> {
         self.members.values()
     }
@@ -260,7 +263,7 @@
         self.members.get(name)
     }
 
-    /// Members alive in a data centre, this VM excluded, by name.
+    /// Members alive in a data centre, except this VM, ordered by name.
     pub fn alive_in<'a>(&'a self, center: &'a CenterName) -> impl Iterator<Item = &'a VmMember> {
         self.members
             .values()
@@ -292,7 +295,7 @@
         (rank, names.len() + 1)
     }
 
-    /// The member that has a duty in this data centre.
+    /// The member that is assigned a duty in this data centre.
     pub fn duty_owner(&self, duty: &str) -> &VmName {
         let own = (!self.own.leaving).then_some(&self.own.name);
         let others = self
@@ -304,24 +307,24 @@
             .unwrap_or(&self.own.name)
     }
 
-    /// Whether this VM has a duty.
+    /// Whether this VM is assigned a duty.
     pub fn has_duty(&self, duty: &str) -> bool {
         *self.duty_owner(duty) == self.own.name
     }
 
-    fn hear_own(&mut self, heard: Incarnation) -> bool {
-        if heard <= self.own.incarnation {
+    fn receive_own(&mut self, received: Incarnation) -> bool {
+        if received <= self.own.incarnation {
             return false;
         }
-        self.own.incarnation = heard.next();
+        self.own.incarnation = received.next();
         true
     }
 }
 
-fn silent_state(state: MemberState, silence: Duration, timing: MemberTiming) -> MemberState {
+fn timed_out_state(state: MemberState, elapsed: Duration, timing: MemberTiming) -> MemberState {
     match state {
-        _ if silence >= timing.gone_after => MemberState::Gone,
-        MemberState::Alive if silence >= timing.suspect_after => MemberState::Suspect,
+        _ if elapsed >= timing.gone_after => MemberState::Gone,
+        MemberState::Alive if elapsed >= timing.suspect_after => MemberState::Suspect,
         _ => state,
     }
 }
--- a/crates/policy/src/moment.rs
+++ b/crates/policy/src/moment.rs
@@ -1,12 +1,12 @@
-//! Points in time of one process.
+//! Points in time within one process.
 
 use std::fmt;
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// Time since the process's own start, from a monotonic clock, in microseconds.
+/// Time since the start of the process, from a monotonic clock, in microseconds.
 ///
-/// Moments of two processes must not be compared.
+/// Moments of different processes must not be compared.
 ///
 /// ```
 /// use onyxfall_policy::Moment;
@@ -19,15 +19,15 @@
 pub struct Moment(u64);
 
 impl Moment {
-    /// The process's start.
+    /// The start of the process.
     pub const ZERO: Self = Self(0);
 
-    /// The moment `since_start` after the start.
+    /// The moment `since_start` after the start of the process.
     pub fn from_duration(since_start: Duration) -> Self {
         Self(u64::try_from(since_start.as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// The moment `time` earlier, at the process's start at most.
+    /// The moment `time` earlier, but not before the start of the process.
     ///
     /// ```
     /// use onyxfall_policy::Moment;
@@ -41,7 +41,7 @@
         Self(self.0.saturating_sub(micros))
     }
 
-    /// Microseconds since the start.
+    /// Microseconds since the start of the process.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
@@ -59,7 +59,7 @@
 impl Sub for Moment {
     type Output = Duration;
 
-    /// Time from `rhs` to `self`; zero if `rhs` is later.
+    /// Time from `rhs` to `self`, or zero if `rhs` is later.
     fn sub(self, rhs: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(rhs.0))
     }
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix.rs
@@ -1,11 +1,11 @@
 //! Which servers probably hold a prompt prefix in their cache.
 //!
-//! Knowledge comes from our own routing and from the engines' cache events,
-//! which are late and have gaps. A gap in a server's event numbers halves the
-//! confidence in all that is known of it; confidence also fades with time. A
-//! wrong guess costs service time, never correctness.
+//! The sources are this VM's own routing and the engines' cache events, which are
+//! late and have gaps. A gap in a server's event numbers halves the confidence in
+//! all earlier entries of that server; confidence also decays with time. A wrong
+//! guess costs service time, never correctness.
 //!
-//! Invariant: at most `limit` prefixes are kept; the oldest goes first.
+//! Invariant: at most `limit` prefixes are kept; the oldest is evicted first.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 use crate::moment::Moment;
 
-const FADE: Duration = Duration::from_mins(2);
+const CONFIDENCE_DECAY: Duration = Duration::from_mins(2);
 const OWN_CONFIDENCE: f64 = 0.9;
 const EVENT_CONFIDENCE: f64 = 0.95;
 const GAP_FACTOR: f64 = 0.5;
@@ -27,9 +27,9 @@
 /// A cache event of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheEvent {
-    /// The engine holds the prefix.
+    /// The engine has stored the prefix.
     Stored(PrefixKey),
-    /// The engine dropped the prefix.
+    /// The engine has evicted the prefix.
     Evicted(PrefixKey),
 }
 
@@ -47,7 +47,7 @@
     gaps: u32,
 }
 
-/// What is known of prefixes.
+/// Probable holders of each prefix.
 #[derive(Clone, Debug)]
 pub struct PrefixTable {
     holders: HashMap<PrefixKey, Vec<PrefixHolder>>,
@@ -57,7 +57,7 @@
 }
 
 impl PrefixTable {
-    /// An empty table for at most `limit` prefixes.
+    /// Creates an empty table for at most `limit` prefixes.
     pub fn new(limit: usize) -> Self {
         Self {
             holders: HashMap::new(),
@@ -67,34 +67,34 @@
         }
     }
 
-    /// Number of prefixes known.
+    /// Number of known prefixes.
     pub fn len(&self) -> usize {
         self.holders.len()
     }
 
-    /// Whether nothing is known.
+    /// Whether no prefix is known.
     pub fn is_empty(&self) -> bool {
         self.holders.is_empty()
     }
 
-    /// Chance, 0 to 1, that `server` holds `prefix`.
+    /// Probability, from 0 to 1, that `server` holds `prefix`.
     pub fn hit_chance(&self, prefix: PrefixKey, server: ServerId, now: Moment) -> f64 {
         let Some(holder) = self.holder(prefix, server) else {
             return 0.0;
         };
         let gaps = self.cursors.get(&server).map_or(0, |cursor| cursor.gaps);
         let missed = gaps.saturating_sub(holder.gaps).min(16);
-        let age = (now - holder.seen).as_secs_f64() / FADE.as_secs_f64();
+        let age = (now - holder.seen).as_secs_f64() / CONFIDENCE_DECAY.as_secs_f64();
         holder.confidence * GAP_FACTOR.powi(missed.cast_signed()) * (-age).exp()
     }
 
-    /// Notes that a request with `prefix` was sent to `server`.
-    pub fn note_routed(&mut self, prefix: PrefixKey, server: ServerId, now: Moment) {
-        self.note(prefix, server, OWN_CONFIDENCE, now);
+    /// Records that a request with `prefix` was sent to `server`.
+    pub fn record_routed(&mut self, prefix: PrefixKey, server: ServerId, now: Moment) {
+        self.record(prefix, server, OWN_CONFIDENCE, now);
     }
 
-    /// Takes a batch of events numbered from `first`; a repeated batch is ignored.
-    pub fn note_events(
+    /// Applies a batch of events numbered from `first`; a repeated batch is ignored.
+    pub fn record_events(
         &mut self,
         server: ServerId,
         first: u64,
@@ -113,14 +113,14 @@
         cursor.next = end;
         for event in events.iter().skip(skip) {
             match *event {
-                CacheEvent::Stored(prefix) => self.note(prefix, server, EVENT_CONFIDENCE, now),
-                CacheEvent::Evicted(prefix) => self.forget(prefix, server),
+                CacheEvent::Stored(prefix) => self.record(prefix, server, EVENT_CONFIDENCE, now),
+                CacheEvent::Evicted(prefix) => self.evict(prefix, server),
             }
         }
     }
 
-    /// Forgets all that is known of a server that came back empty.
-    pub fn forget_server(&mut self, server: ServerId) {
+    /// Drops all entries of a server that restarted with an empty cache.
+    pub fn evict_server(&mut self, server: ServerId) {
         self.cursors.remove(&server);
         for holders in self.holders.values_mut() {
             holders.retain(|holder| holder.server != server);
@@ -134,7 +134,7 @@
             .find(|holder| holder.server == server)
     }
 
-    fn note(&mut self, prefix: PrefixKey, server: ServerId, confidence: f64, now: Moment) {
+    fn record(&mut self, prefix: PrefixKey, server: ServerId, confidence: f64, now: Moment) {
         let gaps = self.cursors.get(&server).map_or(0, |cursor| cursor.gaps);
         if !self.holders.contains_key(&prefix) {
             self.make_room();
@@ -155,7 +155,7 @@
         });
     }
 
-    fn forget(&mut self, prefix: PrefixKey, server: ServerId) {
+    fn evict(&mut self, prefix: PrefixKey, server: ServerId) {
         if let Some(holders) = self.holders.get_mut(&prefix) {
             holders.retain(|holder| holder.server != server);
         }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,14 +1,14 @@
-//! The bounded queue of one model: deadlines, weighted shares, no starvation.
+//! Bounded queue of one model: deadlines, weighted shares, no starvation.
 //!
-//! Every kind has a lane. Half of the service time is guaranteed to the lanes
-//! with work in proportion to their worth, so that scarce capacity goes where
-//! it counts and no lane starves; a lane that is behind its guarantee goes
-//! first. The other half goes by the kinds' priority, then by earliest deadline.
-//! Within a lane the earliest deadline goes first.
+//! Every kind has a lane. Half of the service time is guaranteed to the non-empty
+//! lanes in proportion to their value, so that scarce capacity serves the most
+//! valuable requests and no lane starves; a lane that is behind its guarantee is
+//! served first. The other half is assigned by the kinds' priority, then by
+//! earliest deadline. Within a lane the earliest deadline is served first.
 //!
-//! Invariants: an entry that cannot meet its deadline any more is handed out as
-//! expired at once, never kept; nothing that was started is wasted, since only
-//! waiting entries expire.
+//! Invariants: a request that can no longer meet its deadline is returned as
+//! expired by the next `pop` or `take_expired`, never kept; no started work is
+//! wasted, since only waiting requests expire.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -18,50 +18,50 @@
 
 use crate::moment::Moment;
 
-/// Least worth of a lane relative to the largest.
-const WORTH_FLOOR: f64 = 0.05;
-/// Part of the service time that is guaranteed by worth.
-const GUARANTEED_PART: f64 = 0.5;
+/// Minimum value of a lane relative to the largest.
+const VALUE_FLOOR: f64 = 0.05;
+/// Share of the service time that is guaranteed in proportion to value.
+const GUARANTEED_SHARE: f64 = 0.5;
 
-/// Names a waiting request within one entry VM.
+/// Identifies a waiting request within one entry VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaitId(pub u64);
 
 /// A waiting request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueuedRequest<T> {
-    /// Its name.
+    /// Identifier of the request.
     pub id: WaitId,
-    /// Its kind.
+    /// Kind of the request.
     pub kind: KindId,
-    /// When its answer must be whole.
+    /// When the response must be complete.
     pub deadline: Moment,
     /// Expected service time.
     pub service: Duration,
-    /// What the owner needs to start it.
+    /// Data that the owner of the queue needs to start the request.
     pub payload: T,
 }
 
 #[derive(Clone, Debug)]
 struct KindLane<T> {
-    worth: f64,
+    value: f64,
     priority: u8,
-    /// Guaranteed service time less what was given, in seconds.
+    /// Guaranteed service time less the service time received, in seconds.
     credit: f64,
     work: Duration,
     requests: BTreeMap<(Moment, WaitId), QueuedRequest<T>>,
 }
 
-/// What left the queue.
+/// Requests popped from the queue.
 #[derive(Debug, PartialEq)]
 pub struct PoppedRequests<T> {
-    /// Requests that cannot meet their deadline any more.
+    /// Requests that can no longer meet their deadline.
     pub expired: Vec<QueuedRequest<T>>,
-    /// The request to start.
+    /// The next request to start.
     pub next: Option<QueuedRequest<T>>,
 }
 
-/// The queue of one model.
+/// Queue of one model.
 #[derive(Clone, Debug)]
 pub struct WeightedQueue<T> {
     lanes: BTreeMap<KindId, KindLane<T>>,
@@ -70,7 +70,7 @@
 }
 
 impl<T> WeightedQueue<T> {
-    /// An empty queue that holds at most `limit` requests.
+    /// Creates an empty queue that holds at most `limit` requests.
     pub fn new(limit: usize) -> Self {
         Self {
             lanes: BTreeMap::new(),
@@ -79,13 +79,13 @@
         }
     }
 
-    /// Declares a kind with its worth, such as weight per second of service,
-    /// and its priority; a smaller one goes first.
-    pub fn add_lane(&mut self, kind: KindId, worth: f64, priority: u8) {
-        debug_assert!(worth > 0.0);
+    /// Adds a lane for a kind with its value, such as weight per second of service,
+    /// and its priority; a smaller priority is served first.
+    pub fn add_lane(&mut self, kind: KindId, value: f64, priority: u8) {
+        debug_assert!(value > 0.0);
         let requests = BTreeMap::new();
         let lane = KindLane {
-            worth,
+            value,
             priority,
             credit: 0.0,
             work: Duration::ZERO,
@@ -95,10 +95,10 @@
         let top = self
             .lanes
             .values()
-            .map(|lane| lane.worth)
+            .map(|lane| lane.value)
             .fold(0.0, f64::max);
         for lane in self.lanes.values_mut() {
-            lane.worth = lane.worth.max(top * WORTH_FLOOR);
+            lane.value = lane.value.max(top * VALUE_FLOOR);
         }
     }
 
@@ -107,19 +107,19 @@
         self.len
     }
 
-    /// Whether nothing waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Service time of all that waits.
+    /// Total service time of the waiting requests.
     pub fn work(&self) -> Duration {
         self.lanes.values().map(|lane| lane.work).sum()
     }
 
-    /// Expected wait of a new request with `slots` working on this queue: the
-    /// work that goes before it by priority and deadline, or its lane's own work at the guaranteed
-    /// share, whichever is less.
+    /// Expected wait of a new request with `slots` slots serving this queue: the
+    /// work ahead of it by priority and deadline, or its lane's own work at the
+    /// guaranteed share, whichever is less.
     pub fn expected_wait(&self, kind: KindId, deadline: Moment, slots: f64) -> Duration {
         let slots = slots.max(1.0);
         let Some(lane) = self.lanes.get(&kind) else {
@@ -135,18 +135,18 @@
             .lanes
             .values()
             .filter(|other| !other.requests.is_empty());
-        let others: f64 = busy.map(|other| other.worth).sum();
+        let others: f64 = busy.map(|other| other.value).sum();
         let total = if lane.requests.is_empty() {
-            others + lane.worth
+            others + lane.value
         } else {
             others
         };
-        let share = GUARANTEED_PART * lane.worth / total;
+        let share = GUARANTEED_SHARE * lane.value / total;
         let by_share = lane.work.as_secs_f64() / share / slots;
         Duration::from_secs_f64(by_deadline.min(by_share))
     }
 
-    /// Priority of the lane from which the next request comes.
+    /// Priority of the lane that is served next.
     pub fn first_priority(&self) -> Option<u8> {
         let kind = self.lane_behind().or_else(|| self.lane_due())?;
         Some(self.lanes.get(&kind)?.priority)
@@ -156,7 +156,7 @@
     ///
     /// # Errors
     ///
-    /// The queue is full, or the kind has no lane; the request comes back.
+    /// The queue is full, or the kind has no lane; the error returns the request.
     pub fn push(&mut self, request: QueuedRequest<T>) -> Result<(), QueuedRequest<T>> {
         if self.len >= self.limit {
             return Err(request);
@@ -174,7 +174,7 @@
         Ok(())
     }
 
-    /// Takes the next request to start, and those that are too late.
+    /// Pops the next request to start, and those that have expired.
     pub fn pop(&mut self, now: Moment) -> PoppedRequests<T> {
         let mut expired = self.take_expired(now);
         let next = self.pop_fair();
@@ -182,7 +182,7 @@
         PoppedRequests { expired, next }
     }
 
-    /// Takes every request that cannot meet its deadline any more.
+    /// Removes and returns the requests that can no longer meet their deadline.
     pub fn take_expired(&mut self, now: Moment) -> Vec<QueuedRequest<T>> {
         let mut expired = Vec::new();
         for lane in self.lanes.values_mut() {
@@ -199,7 +199,8 @@
         expired
     }
 
-    /// Takes the request that would wait longest: the last of the lane with most work.
+    /// Pops the request that would wait longest: the last one of the lane with the most
+    /// work, among the lanes whose last request passes `accept`.
     pub fn pop_last(
         &mut self,
         accept: impl Fn(&QueuedRequest<T>) -> bool,
@@ -215,7 +216,7 @@
         Some(request)
     }
 
-    /// Takes back a waiting request whose caller went away.
+    /// Removes a waiting request whose caller disconnected.
     pub fn remove(&mut self, id: WaitId) -> Option<QueuedRequest<T>> {
         for lane in self.lanes.values_mut() {
             let key = lane
@@ -232,7 +233,7 @@
         None
     }
 
-    /// Takes everything, for a move to a new bundle.
+    /// Removes all requests, for migration to a new bundle.
     pub fn drain(&mut self) -> Vec<QueuedRequest<T>> {
         let mut all = Vec::new();
         for lane in self.lanes.values_mut() {
@@ -250,11 +251,12 @@
         let (_, request) = lane.requests.pop_first()?;
         lane.work = lane.work.saturating_sub(request.service);
         self.len -= 1;
-        self.settle(kind, request.service.as_secs_f64());
+        self.charge(kind, request.service.as_secs_f64());
         Some(request)
     }
 
-    /// The lane furthest behind its guarantee, if one is by a whole request.
+    /// The lane furthest behind its guarantee, among those behind by at least the
+    /// service time of their first request.
     fn lane_behind(&self) -> Option<KindId> {
         let behind = |lane: &KindLane<T>| {
             let first = lane.requests.values().next()?;
@@ -270,7 +272,7 @@
             .map(|(kind, _)| kind)
     }
 
-    /// The lane that goes first by priority, then by its first deadline.
+    /// The non-empty lane with the best priority, then the earliest deadline.
     fn lane_due(&self) -> Option<KindId> {
         let first =
             |lane: &KindLane<T>| lane.requests.keys().next().map(|due| (lane.priority, *due));
@@ -282,17 +284,17 @@
     }
 
     /// Charges `seconds` of service to a lane and credits every lane with work.
-    fn settle(&mut self, served: KindId, seconds: f64) {
-        let takes_part =
+    fn charge(&mut self, served: KindId, seconds: f64) {
+        let participates =
             |kind: &KindId, lane: &KindLane<T>| *kind == served || !lane.requests.is_empty();
         let lanes = self
             .lanes
             .iter()
-            .filter(|(kind, lane)| takes_part(kind, lane));
-        let total: f64 = lanes.map(|(_, lane)| lane.worth).sum();
+            .filter(|(kind, lane)| participates(kind, lane));
+        let total: f64 = lanes.map(|(_, lane)| lane.value).sum();
         for (kind, lane) in &mut self.lanes {
-            if takes_part(kind, lane) {
-                lane.credit += GUARANTEED_PART * seconds * lane.worth / total;
+            if participates(kind, lane) {
+                lane.credit += GUARANTEED_SHARE * seconds * lane.value / total;
             }
             if *kind == served {
                 lane.credit = (lane.credit - seconds).max(-seconds);
@@ -302,7 +304,7 @@
 }
 
 impl<T> KindLane<T> {
-    /// Seconds of work that is due no later than `deadline`.
+    /// Estimated seconds of the lane's work that is due no later than `deadline`.
     fn due_before(&self, deadline: Moment) -> f64 {
         if self.requests.is_empty() {
             return 0.0;
--- a/crates/policy/src/away.rs
+++ b/crates/policy/src/remote.rs
@@ -1,9 +1,9 @@
-//! Whether to send a request to another data centre, and to which.
+//! Whether to forward a request to another data centre, and to which.
 //!
-//! All options are compared in seconds of expected completion. Sending away
-//! adds the round trip, the work of a cold prefix and a price for leaving the
-//! home region. It happens only when the gain clears a margin, which is smaller
-//! while sending is under way (hysteresis), and only against a grant.
+//! All options are compared in seconds of expected completion. Forwarding adds
+//! the round trip, the work of a cold prefix and a cost for leaving this region.
+//! It requires a gain above a margin, which is smaller while the model's
+//! requests are being forwarded (hysteresis), and a grant.
 
 use std::time::Duration;
 
@@ -14,56 +14,58 @@
 use crate::moment::Moment;
 use crate::residency::RegionSet;
 
-/// Price of leaving the home region at weight 1.
-const AWAY_PRICE: Duration = Duration::from_millis(100);
+/// Cost of leaving this region at weight 1.
+const REGION_COST: Duration = Duration::from_millis(100);
 const START_MARGIN: Duration = Duration::from_millis(40);
 const STOP_MARGIN: Duration = Duration::from_millis(5);
-/// Least time between two changes of mode.
+/// Minimum time between two changes of mode.
 const MODE_DWELL: Duration = Duration::from_secs(3);
 
-/// A data centre to send to.
+/// A data centre chosen as the target of a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RemoteChoice {
     /// The data centre.
     pub center: CenterId,
     /// Expected time to completion, round trip included.
     pub expected: Duration,
-    /// Seconds that are compared, prices included.
+    /// Score in seconds, with the costs of work and of leaving the region. Lower is
+    /// better.
     pub score: f64,
 }
 
-/// Whether requests of a model are being sent away; counts its changes.
+/// Whether requests of a model are being forwarded, with hysteresis and a count of
+/// the changes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RemoteMode {
-    sending: bool,
+    forwarding: bool,
     changed: Option<Moment>,
     switches: u64,
 }
 
 impl RemoteMode {
-    /// Whether an option with this gain (seconds) is taken.
-    pub fn takes(&mut self, now: Moment, gain: f64) -> bool {
-        let margin = if self.sending {
+    /// Whether a request is forwarded for a gain of so many seconds.
+    pub fn accepts(&mut self, now: Moment, gain: f64) -> bool {
+        let margin = if self.forwarding {
             STOP_MARGIN
         } else {
             START_MARGIN
         };
-        let wants = gain > margin.as_secs_f64();
-        if wants != self.sending {
-            self.switch(now, wants);
+        let accepted = gain > margin.as_secs_f64();
+        if accepted != self.forwarding {
+            self.switch(now, accepted);
         }
-        wants
+        accepted
     }
 
-    /// Changes of mode so far.
+    /// Number of mode changes so far.
     pub fn switches(&self) -> u64 {
         self.switches
     }
 
-    fn switch(&mut self, now: Moment, sending: bool) {
+    fn switch(&mut self, now: Moment, forwarding: bool) {
         let settled = self.changed.is_none_or(|at| now - at >= MODE_DWELL);
         if settled {
-            self.sending = sending;
+            self.forwarding = forwarding;
             self.changed = Some(now);
             self.switches += 1;
         }
@@ -102,7 +104,7 @@
         let wait = view.model(self.now, self.model)?.wait;
         let expected = view.rtt() + wait + self.service;
         let score = objective_score(&self.bundle.objective, expected, self.cold_work)
-            + self.leave_price(center);
+            + self.region_cost(center);
         Some(RemoteChoice {
             center,
             expected,
@@ -110,16 +112,16 @@
         })
     }
 
-    fn leave_price(&self, center: CenterId) -> f64 {
+    fn region_cost(&self, center: CenterId) -> f64 {
         let own_region = self.bundle.centers[self.own_center].region;
         if self.bundle.centers[center].region == own_region {
             return 0.0;
         }
-        self.bundle.objective.away * AWAY_PRICE.as_secs_f64()
+        self.bundle.objective.away * REGION_COST.as_secs_f64()
     }
 }
 
-/// Seconds that are compared: weighted time and weighted work.
+/// Score in seconds: weighted completion time plus weighted work.
 pub(crate) fn objective_score(
     objective: &ObjectiveWeights,
     expected: Duration,
--- a/crates/policy/src/residency.rs
+++ b/crates/policy/src/residency.rs
@@ -1,12 +1,14 @@
 //! Where a request may be served.
 //!
-//! One function answers this for sender and receiver, each with its own
-//! bundle; the receiver serves only within the intersection of both answers.
+//! Sender and receiver of a forwarded request compute the allowed regions with the
+//! same function, each under its own bundle; the receiver serves the request only
+//! within the intersection of both sets.
 
 use onyxfall_bundle::{RequestKind, ResidencyRule, ServiceBundle};
 use onyxfall_types::{EntityId, RefusalReason, RegionId, RequestError};
 
-/// A set of regions of one bundle; at most 128, which the verifier checks.
+/// A set of regions of one bundle. A bundle has at most 128, which the verifier
+/// checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub struct RegionSet(u128);
 
@@ -27,7 +29,7 @@
             .unwrap_or(0);
     }
 
-    /// Regions in both sets.
+    /// The regions that are in both sets.
     #[must_use]
     pub const fn intersection(self, other: Self) -> Self {
         Self(self.0 & other.0)
@@ -54,7 +56,7 @@
 /// # Errors
 ///
 /// The kind is bound to its home and the caller named none, or the home lies
-/// outside the kind's residency limit. Nothing ran.
+/// outside the kind's residency limit. The request has not run.
 pub fn allowed_regions(
     bundle: &ServiceBundle,
     kind: &RequestKind,
@@ -75,7 +77,10 @@
         ResidencyRule::Regions(regions) => {
             let set: RegionSet = regions.iter().copied().collect();
             if home.is_some_and(|home| !set.contains(home)) {
-                let detail = format!("the home lies outside the limit of kind {}", kind.name);
+                let detail = format!(
+                    "the home is outside the residency limit of kind {}",
+                    kind.name
+                );
                 return Err(RequestError::not_run(RefusalReason::Residency, detail));
             }
             Ok(set)
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -4,14 +4,14 @@
 
 use rand::Rng;
 
-/// Tokens that each first attempt adds.
+/// Tokens added by each first attempt.
 const DEPOSIT: f64 = 0.1;
-/// Most retries that may be saved up.
+/// Maximum number of accumulated tokens.
 const MAX_SAVED: f64 = 10.0;
 
-/// Keeps retries of a kind to a tenth of its first attempts.
+/// Limits the retries of a kind to a tenth of its first attempts.
 ///
-/// Invariant: retries granted never exceed a tenth of the first attempts noted
+/// Invariant: granted retries never exceed a tenth of the recorded first attempts
 /// plus the one retry that a new budget starts with.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
@@ -25,17 +25,17 @@
 }
 
 impl RetryBudget {
-    /// A budget with one retry.
+    /// Creates a budget with one retry.
     pub fn new() -> Self {
         Self { tokens: 1.0 }
     }
 
-    /// Notes a first attempt.
+    /// Records a first attempt.
     pub fn note_first(&mut self) {
         self.tokens = (self.tokens + DEPOSIT).min(MAX_SAVED);
     }
 
-    /// Spends a retry if the budget has one.
+    /// Spends a retry if the budget has one; returns whether it had.
     ///
     /// ```
     /// use onyxfall_policy::RetryBudget;
@@ -55,15 +55,15 @@
 /// Exponential backoff with full jitter.
 #[derive(Clone, Copy, Debug)]
 pub struct BackoffCurve {
-    /// Longest pause before the first retry.
+    /// Maximum pause before the first retry.
     pub base: Duration,
-    /// Longest pause before any retry.
+    /// Maximum pause before any retry.
     pub cap: Duration,
 }
 
 impl BackoffCurve {
-    /// Pause before retry number `retry`, counted from 0: uniform from zero to
-    /// the base doubled `retry` times, capped.
+    /// Pause before retry number `retry`, counted from 0: uniformly distributed
+    /// between zero and the base doubled `retry` times, at most the cap.
     pub fn pause(&self, retry: u32, rng: &mut impl Rng) -> Duration {
         let top = self
             .base
--- a/crates/policy/src/router/baseline.rs
+++ b/crates/policy/src/router/baseline.rs
@@ -1,4 +1,4 @@
-//! Baselines for measurement: random and in turn, without a queue.
+//! Baseline policies for measurement: random and round-robin, without a queue.
 
 use onyxfall_bundle::AwayRule;
 use onyxfall_types::ServerId;
@@ -12,14 +12,14 @@
 impl RequestRouter {
     pub(super) fn route_random(&mut self, now: Moment, arrival: &RequestArrival) -> RouteStep {
         let model = self.kind(arrival.kind).model;
-        let here = arrival.origin == ArrivalOrigin::Peer
+        let is_local_only = arrival.origin == ArrivalOrigin::Peer
             || self.kind(arrival.kind).away == AwayRule::Never;
         let permitted: Vec<ServerId> = self
             .bundle
             .servers
             .iter()
             .filter(|(_, server)| server.models.contains(&model))
-            .filter(|(_, server)| !here || server.center == self.center)
+            .filter(|(_, server)| !is_local_only || server.center == self.center)
             .filter(|(_, server)| {
                 arrival
                     .allowed
@@ -35,21 +35,21 @@
         if center != self.center {
             return self.start_forward(arrival, center);
         }
-        self.start_plain(now, arrival, server)
+        self.start_baseline(now, arrival, server)
     }
 
-    pub(super) fn route_in_turn(&mut self, now: Moment, arrival: &RequestArrival) -> RouteStep {
+    pub(super) fn route_round_robin(&mut self, now: Moment, arrival: &RequestArrival) -> RouteStep {
         let model = self.kind(arrival.kind).model;
         let pool = &mut self.pools[model];
         if pool.servers.is_empty() {
             return RouteStep::Refuse(refusal(None));
         }
-        let server = pool.servers[pool.next_turn % pool.servers.len()];
-        pool.next_turn += 1;
-        self.start_plain(now, arrival, server)
+        let server = pool.servers[pool.next_index % pool.servers.len()];
+        pool.next_index += 1;
+        self.start_baseline(now, arrival, server)
     }
 
-    pub(super) fn start_plain(
+    pub(super) fn start_baseline(
         &mut self,
         now: Moment,
         arrival: &RequestArrival,
--- a/crates/policy/src/router/capacity.rs
+++ b/crates/policy/src/router/capacity.rs
@@ -1,4 +1,4 @@
-//! What capacity there is: slots, waits, free slots and grants for others.
+//! Available capacity: slots, expected waits, free slots and grants for other data centres.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 use crate::moment::Moment;
 use crate::server::ServerState;
 
-/// Part of the free slots that a data centre keeps from its grants.
+/// Share of the free slots that a data centre withholds from its grants.
 const GRANT_RESERVE: f64 = 0.1;
 
 impl RequestRouter {
-    /// How many times slower than usual the servers of a model answer, the
-    /// median. A queue in every server is no fault of one.
-    pub(super) fn usual_slowness(&self, now: Moment, model: ModelId) -> f64 {
+    /// Median slowness of a model's usable servers. A server's slowness is judged
+    /// relative to it, since a queue in every server is no fault of one.
+    pub(super) fn median_slowness(&self, now: Moment, model: ModelId) -> f64 {
         let servers = self.pools[model]
             .servers
             .iter()
@@ -28,16 +28,16 @@
         all.get(all.len() / 2).copied().unwrap_or(1.0)
     }
 
-    /// Slots that serve this VM's queue, a server slower than its peers
-    /// counted as less.
+    /// Slots that serve this VM's queue; a server slower than the median counts
+    /// for less.
     pub(super) fn pool_slots(&self, now: Moment, model: ModelId) -> f64 {
-        let usual = self.usual_slowness(now, model);
+        let median = self.median_slowness(now, model);
         let servers = self.pools[model]
             .servers
             .iter()
             .map(|id| &self.servers[*id]);
         let slots = |server: &ServerState| {
-            server.allowance(now, self.members) / (server.slowness(now) / usual).max(1.0)
+            server.allowance(now, self.members) / (server.slowness(now) / median).max(1.0)
         };
         servers
             .filter(|server| server.is_usable(now))
@@ -45,7 +45,7 @@
             .sum()
     }
 
-    /// Expected wait in the own queue; `None` if no server is usable.
+    /// Expected wait in this VM's queue; `None` if no server is usable.
     pub(super) fn local_wait(
         &self,
         now: Moment,
@@ -61,9 +61,9 @@
         Some(self.pools[model].queue.expected_wait(kind, deadline, slots) + residual)
     }
 
-    /// Time until the first server of a model has rested, if all that could be used
-    /// otherwise want rest.
-    pub(super) fn rest_left(&self, now: Moment, model: ModelId) -> Option<Duration> {
+    /// Time until the first backoff among a model's servers ends; `None` if no
+    /// server that is not draining has a backoff.
+    pub(super) fn backoff_left(&self, now: Moment, model: ModelId) -> Option<Duration> {
         let servers = self.pools[model].servers.iter();
         let servers = servers.map(|id| &self.servers[*id]);
         let ends = servers.filter(|server| !server.is_draining());
@@ -76,18 +76,18 @@
         if !pool.queue.is_empty() || !pool.peer_work.is_empty() {
             return 0;
         }
-        let usual = self.usual_slowness(now, model);
+        let median = self.median_slowness(now, model);
         let servers = pool.servers.iter().map(|id| &self.servers[*id]);
         let spare = |server: &ServerState| {
             let spare = (f64::from(server.slots()) - server.busy(now)).max(0.0);
-            spare / (server.slowness(now) / usual).max(1.0)
+            spare / (server.slowness(now) / median).max(1.0)
         };
         let free: f64 = servers
             .filter(|server| server.is_usable(now))
             .map(spare)
             .sum();
         let free = (free * (1.0 - GRANT_RESERVE)).floor();
-        // A count of slots: not negative, far below 2^32.
+        // A number of slots: not negative, far below 2^32.
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let free = free.max(0.0) as u32;
         free
@@ -99,16 +99,16 @@
         (pool.queue.work() + pool.peer_work.values().sum::<Duration>()).div_f64(slots)
     }
 
-    /// What this data centre tells another one.
+    /// Digest of this data centre for another one.
     ///
-    /// `askers` counts the data centres among which a model's free slots are
-    /// split; `from_away` counts the requests that the other one has under way
-    /// here, over all entries.
+    /// `recipients` counts the data centres among which a model's free slots are
+    /// split; `from_remote` counts the requests that the other data centre has
+    /// open here, over all entries.
     pub fn digest_for(
         &self,
         now: Moment,
-        askers: impl Fn(ModelId) -> usize,
-        from_away: impl Fn(ModelId) -> u32,
+        recipients: impl Fn(ModelId) -> usize,
+        from_remote: impl Fn(ModelId) -> u32,
     ) -> Vec<ModelDigest> {
         self.bundle
             .models
@@ -116,8 +116,8 @@
             .filter(|model| !self.pools[*model].servers.is_empty())
             .map(|model| {
                 let free = self.free_slots(now, model);
-                let part = free / u32::try_from(askers(model).max(1)).unwrap_or(u32::MAX);
-                let grant = from_away(model) + part;
+                let part = free / u32::try_from(recipients(model).max(1)).unwrap_or(u32::MAX);
+                let grant = from_remote(model) + part;
                 ModelDigest {
                     model,
                     free,
@@ -128,18 +128,18 @@
             .collect()
     }
 
-    /// Requests of `center` under way through this VM.
+    /// Open requests of data centre `center` that this VM received.
     pub fn from_away(&self, center: CenterId, model: ModelId) -> u32 {
         self.pools[model]
-            .from_away
+            .from_remote
             .get(&center)
             .copied()
             .unwrap_or(0)
     }
 
-    /// Counts a request that another data centre has under way here.
+    /// Counts the start or end of a request received from another data centre.
     pub fn record_from_remote(&mut self, center: CenterId, model: ModelId, started: bool) {
-        let count = self.pools[model].from_away.entry(center).or_default();
+        let count = self.pools[model].from_remote.entry(center).or_default();
         *count = if started {
             *count + 1
         } else {
--- a/crates/policy/src/router/decide.rs
+++ b/crates/policy/src/router/decide.rs
@@ -1,4 +1,4 @@
-//! The decision about one request: here, away, wait or refuse.
+//! The decision about one request: run locally, forward, wait or refuse.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 
 use super::kinds::{ArrivalOrigin, RequestArrival, RouteStep, RoutingPolicy};
 use super::{AttemptTarget, OpenAttempt, RequestRouter, refusal};
-use crate::away::{RemoteChoice, RemoteContext, objective_score};
 use crate::choose::{ChooseContext, ServerChoice};
 use crate::moment::Moment;
 use crate::queue::{QueuedRequest, WaitId};
+use crate::remote::{RemoteChoice, RemoteContext, objective_score};
 
 impl RequestRouter {
     pub(super) fn route(&mut self, now: Moment, arrival: RequestArrival) -> RouteStep {
@@ -29,22 +29,22 @@
         }
         let wait = self.local_wait(now, arrival.kind, arrival.deadline);
         let local = wait.map(|wait| wait + service);
-        let away = self.choose_remote(now, &arrival);
-        if let Some(away) = self.prefer_remote(now, model, local, away) {
-            return self.start_forward(&arrival, away.center);
+        let remote = self.choose_remote(now, &arrival);
+        if let Some(remote) = self.prefer_remote(now, model, local, remote) {
+            return self.start_forward(&arrival, remote.center);
         }
-        match (local, away) {
+        match (local, remote) {
             (Some(local), _) if local <= remaining => self.enqueue(arrival, service),
-            (_, Some(away)) => self.start_forward(&arrival, away.center),
+            (_, Some(remote)) => self.start_forward(&arrival, remote.center),
             (None, None) if service <= remaining && self.may_get_grant(now, &arrival) => {
                 self.enqueue(arrival, service)
             }
-            _ => RouteStep::Refuse(refusal(wait.or_else(|| self.rest_left(now, model)))),
+            _ => RouteStep::Refuse(refusal(wait.or_else(|| self.backoff_left(now, model)))),
         }
     }
 
-    /// Whether another data centre that is heard of serves the request's model,
-    /// so that a grant may come while it waits.
+    /// Whether another data centre with a current digest serves the request's
+    /// model, so that a grant may arrive while the request waits.
     fn may_get_grant(&self, now: Moment, arrival: &RequestArrival) -> bool {
         let kind = self.kind(arrival.kind);
         if self.settings.routing != RoutingPolicy::Expected || kind.away == AwayRule::Never {
@@ -67,17 +67,17 @@
         now: Moment,
         model: ModelId,
         local: Option<Duration>,
-        away: Option<RemoteChoice>,
+        remote: Option<RemoteChoice>,
     ) -> Option<RemoteChoice> {
-        let away = away?;
+        let remote = remote?;
         let Some(local) = local else {
-            return Some(away);
+            return Some(remote);
         };
         let local = objective_score(&self.bundle.objective, local, Duration::ZERO);
         self.pools[model]
             .mode
-            .takes(now, local - away.score)
-            .then_some(away)
+            .accepts(now, local - remote.score)
+            .then_some(remote)
     }
 
     pub(super) fn enqueue(&mut self, arrival: RequestArrival, service: Duration) -> RouteStep {
@@ -166,7 +166,7 @@
         let attempt = self.next();
         self.servers[choice.server].start(now, attempt, choice.service);
         if let Some(prefix) = arrival.prefix {
-            self.prefixes.note_routed(prefix, choice.server, now);
+            self.prefixes.record_routed(prefix, choice.server, now);
         }
         let target = AttemptTarget::Server(choice.server);
         let open = OpenAttempt {
@@ -187,7 +187,10 @@
         arrival: &RequestArrival,
         center: CenterId,
     ) -> RouteStep {
-        debug_assert!(arrival.origin == ArrivalOrigin::Caller, "one hop only");
+        debug_assert!(
+            arrival.origin == ArrivalOrigin::Caller,
+            "a forwarded request is not forwarded again"
+        );
         debug_assert!(arrival.allowed.contains(self.bundle.centers[center].region));
         let attempt = self.next();
         self.centers.start(center, self.kind(arrival.kind).model);
--- a/crates/policy/src/router/kinds.rs
+++ b/crates/policy/src/router/kinds.rs
@@ -1,4 +1,4 @@
-//! What goes into the router and what comes out.
+//! Inputs and outputs of the router.
 
 use std::time::Duration;
 
@@ -12,18 +12,18 @@
 /// How requests are routed; all but the first are baselines for measurement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoutingPolicy {
-    /// Least expected completion, queueing and sending away.
+    /// Shortest expected time to completion, with queueing and forwarding.
     Expected,
-    /// As `Expected`, without sending away.
+    /// As `Expected`, without forwarding.
     LocalOnly,
-    /// Any permitted server anywhere, drawn evenly, no queue.
+    /// Any permitted server in any data centre, drawn uniformly, no queue.
     Random,
-    /// The data centre's own servers in turn, no queue.
+    /// The servers of this data centre in turn, no queue.
     RoundRobin,
 }
 
 impl RoutingPolicy {
-    /// Every policy.
+    /// All policies.
     pub const ALL: [Self; 4] = [
         Self::Expected,
         Self::LocalOnly,
@@ -31,7 +31,7 @@
         Self::RoundRobin,
     ];
 
-    /// Name in settings and tables.
+    /// Name of the policy in settings and tables.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Expected => "expected",
@@ -57,16 +57,16 @@
     }
 }
 
-/// Settings of the decisions.
+/// Settings of the router.
 #[derive(Clone, Debug)]
 pub struct PolicySettings {
     /// How requests are routed.
     pub routing: RoutingPolicy,
-    /// Requests that may wait for one model.
+    /// Maximum number of waiting requests per model.
     pub queue_limit: usize,
-    /// Prefixes remembered.
+    /// Maximum number of remembered prefixes.
     pub prefix_limit: usize,
-    /// Seed of the generator.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
@@ -84,64 +84,64 @@
 /// Where a request came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ArrivalOrigin {
-    /// A caller; it may be sent away.
+    /// A caller; the request may be forwarded.
     Caller,
-    /// An entry of another data centre; it is run here or refused.
+    /// An entry of another data centre; the request is run here or refused.
     Peer,
 }
 
 /// A request, or the next attempt of one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestArrival {
-    /// Its kind.
+    /// Kind of the request.
     pub kind: KindId,
-    /// Where it may be served.
+    /// Regions in which the request may be served.
     pub allowed: RegionSet,
-    /// Its prompt prefix.
+    /// Prompt prefix of the request.
     pub prefix: Option<PrefixKey>,
-    /// When its answer must be whole.
+    /// When the response must be complete.
     pub deadline: Moment,
-    /// Where it came from.
+    /// Where the request came from.
     pub origin: ArrivalOrigin,
-    /// Servers that failed it before.
+    /// Servers that failed the request before.
     pub excluded: Vec<ServerId>,
-    /// Data centres that failed or refused it before.
+    /// Data centres that failed or refused the request before.
     pub excluded_centers: Vec<CenterId>,
 }
 
 /// What to do with a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouteStep {
-    /// Run it on a server of this data centre.
+    /// Run the request on a server of this data centre.
     Run {
-        /// Attempt to report the end of.
+        /// Attempt whose end must be reported.
         attempt: u64,
         /// The server.
         server: ServerId,
     },
-    /// Send it to an entry of another data centre.
-    Away {
-        /// Attempt to report the end of.
+    /// Forward the request to an entry of another data centre.
+    Forward {
+        /// Attempt whose end must be reported.
         attempt: u64,
         /// The data centre.
         center: CenterId,
     },
-    /// Keep it; [`RequestRouter::poll`] will name it.
+    /// Keep the request until [`RequestRouter::poll`] returns its step.
     Wait(WaitId),
-    /// Refuse it now.
+    /// Refuse the request now.
     Refuse(RequestError),
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// A whole answer.
+    /// A complete response.
     Success,
-    /// No whole answer.
+    /// No complete response.
     Failed,
-    /// Refused by the other side as not-run, for lack of room.
+    /// Refused by the other side as not-run, for lack of capacity.
     Refused,
-    /// Ended by our side; says nothing about the other.
+    /// Ended by this side; implies nothing about the other side.
     Cancelled,
 }
 
@@ -150,18 +150,18 @@
 pub struct AttemptEnd {
     /// The attempt.
     pub attempt: u64,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// Time that the other side took; time lost to a slow caller left out.
+    /// Time that the other side took, without time lost to a slow caller.
     pub elapsed: Duration,
 }
 
 /// Counts of steps, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouteCounts {
-    /// Attempts run here.
+    /// Attempts run on local servers.
     pub local: u64,
-    /// Attempts sent away.
+    /// Attempts forwarded to other data centres.
     pub away: u64,
     /// Requests refused.
     pub refused: u64,
@@ -169,6 +169,6 @@
     pub expired: u64,
     /// Retries granted.
     pub retries: u64,
-    /// Changes between sending away and not.
+    /// Switches of forwarding on or off, over all models.
     pub switches: u64,
 }
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -1,4 +1,4 @@
-//! The decisions tied together: events in, steps out.
+//! The router: takes events, returns steps.
 
 mod baseline;
 mod capacity;
@@ -24,7 +24,6 @@
     RouteStep, RoutingPolicy,
 };
 
-use crate::away::RemoteMode;
 use crate::bucket::TokenBucket;
 use crate::center::{CenterDigest, CenterTable};
 use crate::drain::DrainTable;
@@ -32,10 +31,11 @@
 use crate::moment::Moment;
 use crate::prefix::{CacheEvent, PrefixTable};
 use crate::queue::WeightedQueue;
+use crate::remote::RemoteMode;
 use crate::retry::RetryBudget;
 use crate::server::{LoadReport, ServerState};
 
-/// Largest exponent of the service time in a lane's worth.
+/// Largest exponent of the service time in a lane's value.
 const MAX_TAIL_EXPONENT: f64 = 2.0;
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 const MAX_RETRY_AFTER: Duration = Duration::from_mins(1);
@@ -58,14 +58,15 @@
     servers: Vec<ServerId>,
     queue: WeightedQueue<RequestArrival>,
     mode: RemoteMode,
-    next_turn: usize,
-    /// Priority whose requests may queue in servers, if kinds differ in it.
+    next_index: usize,
+    /// Best priority, whose requests may queue in servers; `None` if all kinds
+    /// have the same priority.
     top_priority: Option<u8>,
-    from_away: BTreeMap<CenterId, u32>,
+    from_remote: BTreeMap<CenterId, u32>,
     peer_work: BTreeMap<VmName, Duration>,
 }
 
-/// Every decision of one entry VM for one bundle.
+/// The routing decisions of one entry VM under one bundle.
 pub struct RequestRouter {
     bundle: Arc<ServiceBundle>,
     center: CenterId,
@@ -89,7 +90,7 @@
 }
 
 impl RequestRouter {
-    /// A router for the data centre `center` of `bundle`.
+    /// Creates a router for the data centre `center` of `bundle`.
     pub fn new(
         bundle: Arc<ServiceBundle>,
         center: CenterId,
@@ -157,12 +158,12 @@
         }
     }
 
-    /// The bundle that decisions are made by.
+    /// The bundle in force.
     pub fn bundle(&self) -> &Arc<ServiceBundle> {
         &self.bundle
     }
 
-    /// This VM's data centre.
+    /// Data centre of this VM.
     pub fn center(&self) -> CenterId {
         self.center
     }
@@ -177,14 +178,14 @@
         self.model_tags.get(&tag).copied()
     }
 
-    /// Forgets what another entry of the data centre told.
+    /// Drops the queued work reported by another entry of the data centre.
     pub fn evict_peer(&mut self, peer: &VmName) {
         for (_, pool) in self.pools.iter_mut() {
             pool.peer_work.remove(peer);
         }
     }
 
-    /// Counts so far.
+    /// Counts of steps so far.
     pub fn counts(&self) -> RouteCounts {
         let switches = self.pools.values().map(|pool| pool.mode.switches()).sum();
         RouteCounts {
@@ -198,27 +199,28 @@
         &self.servers[id]
     }
 
-    /// Other data centres.
+    /// Table of the other data centres.
     pub fn centers_mut(&mut self) -> &mut CenterTable {
         &mut self.centers
     }
 
-    /// Drains known so far.
+    /// Table of known drains.
     pub fn drains(&self) -> &DrainTable {
         &self.drains
     }
 
-    /// Requests that wait, over all models.
+    /// Number of waiting requests, over all models.
     pub fn waiting(&self) -> usize {
         self.pools.values().map(|pool| pool.queue.len()).sum()
     }
 
-    /// Service time of what waits for a model.
+    /// Total service time of the requests waiting for a model.
     pub fn queued_work(&self, model: ModelId) -> Duration {
         self.pools[model].queue.work()
     }
 
-    /// Sets the service time of what waits for a model in another entry.
+    /// Sets the total service time of the requests waiting for a model in another
+    /// entry.
     pub fn set_peer_work(&mut self, model: ModelId, peer: &VmName, work: Duration) {
         let peers = &mut self.pools[model].peer_work;
         if work.is_zero() {
@@ -242,11 +244,11 @@
         }
     }
 
-    /// Takes a request of a team against the team's rate.
+    /// Counts a request of a team against the team's rate.
     ///
     /// # Errors
     ///
-    /// The team is past its rate; the error says when to come back.
+    /// The team has exceeded its rate; the error carries the time to retry after.
     pub fn admit_team(&mut self, now: Moment, team: TeamId) -> Result<(), RequestError> {
         let bucket = &mut self.teams[team];
         if bucket.take(now, 1.0) {
@@ -255,16 +257,19 @@
         let after = bucket
             .wait(now, 1.0)
             .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
-        let detail = format!("team {} is past its rate", self.bundle.teams[team].name);
+        let detail = format!(
+            "team {} has exceeded its rate",
+            self.bundle.teams[team].name
+        );
         Err(RequestError::not_run(RefusalReason::RateLimited, detail).with_retry_after(after))
     }
 
-    /// Decides about a new request, or the next attempt of one.
+    /// Decides about a new request, or about the next attempt of one.
     pub fn arrive(&mut self, now: Moment, arrival: RequestArrival) -> RouteStep {
         let step = match self.settings.routing {
             RoutingPolicy::Expected | RoutingPolicy::LocalOnly => self.route(now, arrival),
             RoutingPolicy::Random => self.route_random(now, &arrival),
-            RoutingPolicy::RoundRobin => self.route_in_turn(now, &arrival),
+            RoutingPolicy::RoundRobin => self.route_round_robin(now, &arrival),
         };
         if let RouteStep::Refuse(_) = step {
             self.counts.refused += 1;
@@ -272,19 +277,20 @@
         step
     }
 
-    /// Notes the first attempt of a request, for the retry budget.
+    /// Records the first attempt of a request in the retry budget.
     pub fn note_first(&mut self, kind: KindId) {
         self.budgets[kind].note_first();
     }
 
-    /// Whether a request of `kind` may be tried again.
+    /// Whether a request of `kind` may be retried; spends a retry if so.
     pub fn try_retry(&mut self, kind: KindId) -> bool {
         let granted = self.budgets[kind].try_spend();
         self.counts.retries += u64::from(granted);
         granted
     }
 
-    /// Notes the end of an attempt; returns the server that its failure cut off.
+    /// Records the end of an attempt; returns the server whose circuit breaker the
+    /// failure opened.
     pub fn end(&mut self, now: Moment, end: &AttemptEnd) -> Option<ServerId> {
         let open = self.open.remove(&end.attempt)?;
         match open.target {
@@ -301,7 +307,7 @@
         }
     }
 
-    /// Notes that the server of an attempt wants nothing from this VM for `time`.
+    /// Records that the server of an attempt requests a backoff of `time`.
     pub fn record_backoff(&mut self, now: Moment, attempt: u64, time: Duration) {
         let open = self.open.get(&attempt);
         if let Some(AttemptTarget::Server(server)) = open.map(|open| open.target) {
@@ -309,29 +315,29 @@
         }
     }
 
-    /// Takes a server's load report.
+    /// Applies a server's load report.
     pub fn report(&mut self, now: Moment, server: ServerId, report: &LoadReport) {
         if self.servers.get(server).is_none() {
             return;
         }
         if self.servers[server].report(now, report) {
-            self.prefixes.forget_server(server);
+            self.prefixes.evict_server(server);
         }
         if report.draining {
             let name = self.bundle.servers[server].name.clone();
-            self.drains.note(&name, report.incarnation);
+            self.drains.record(&name, report.incarnation);
         }
         self.apply_drain(server);
     }
 
-    /// Notes that a server has stopped reporting.
+    /// Records that a server has stopped sending load reports.
     pub fn report_unresponsive(&mut self, now: Moment, server: ServerId) {
         if self.servers.get(server).is_some() {
-            self.servers[server].fall_silent(now);
+            self.servers[server].record_unresponsive(now);
         }
     }
 
-    /// Takes cache events of a server, numbered from `first`.
+    /// Applies cache events of a server, numbered from `first`.
     pub fn cache_events(
         &mut self,
         now: Moment,
@@ -339,30 +345,30 @@
         first: u64,
         events: &[CacheEvent],
     ) {
-        self.prefixes.note_events(server, first, events, now);
+        self.prefixes.record_events(server, first, events, now);
     }
 
-    /// Notes that a server is leaving; returns whether that is news.
+    /// Records that a server is draining; returns whether that was unknown.
     ///
-    /// `incarnation` 0 stands for the life that is known here.
+    /// `incarnation` 0 stands for the incarnation last reported to this VM.
     pub fn drain(&mut self, name: &ServerName, incarnation: onyxfall_types::Incarnation) -> bool {
         let server = self.bundle.server_id(name.as_str());
         let known = server.map_or(incarnation, |id| self.servers[id].incarnation());
-        let life = if incarnation.get() == 0 {
+        let drained = if incarnation.get() == 0 {
             known
         } else {
             incarnation
         };
-        let news = self.drains.note(name, life);
+        let is_new = self.drains.record(name, drained);
         if let Some(server) = server {
             self.apply_drain(server);
         }
-        news
+        is_new
     }
 
-    /// Takes another data centre's digest.
+    /// Applies another data centre's digest.
     pub fn receive_center(&mut self, now: Moment, digest: &CenterDigest) {
-        self.centers.hear(now, digest);
+        self.centers.receive(now, digest);
     }
 
     fn kind(&self, id: KindId) -> &RequestKind {
@@ -397,16 +403,16 @@
         state.end(end.attempt);
         match end.outcome {
             AttemptOutcome::Success => {
-                let saved = open.expected.as_secs_f64();
-                let whole = self.estimates[open.kind].get().as_secs_f64();
-                let sample = end.elapsed.mul_f64((whole / saved.max(1e-6)).max(1.0));
+                let expected = open.expected.as_secs_f64();
+                let usual = self.estimates[open.kind].get().as_secs_f64();
+                let sample = end.elapsed.mul_f64((usual / expected.max(1e-6)).max(1.0));
                 let ratio = self.estimates[open.kind].observe(sample);
                 state.succeed(now, ratio);
                 None
             }
             AttemptOutcome::Failed => state.fail(now).then_some(server),
             AttemptOutcome::Refused | AttemptOutcome::Cancelled => {
-                state.forget();
+                state.end_inconclusive();
                 None
             }
         }
@@ -421,7 +427,7 @@
 ) -> ModelPool {
     let mut queue = WeightedQueue::new(settings.queue_limit);
     for (id, kind) in bundle.kinds.iter().filter(|(_, kind)| kind.model == model) {
-        queue.add_lane(id, lane_worth(bundle, kind), kind.priority);
+        queue.add_lane(id, lane_value(bundle, kind), kind.priority);
     }
     let servers = bundle
         .servers
@@ -433,14 +439,14 @@
         servers,
         queue,
         mode: RemoteMode::default(),
-        next_turn: 0,
+        next_index: 0,
         top_priority: top_priority(bundle, model),
-        from_away: BTreeMap::new(),
+        from_remote: BTreeMap::new(),
         peer_work: BTreeMap::new(),
     }
 }
 
-/// The best priority of a model's kinds, if they differ in it.
+/// The best priority of a model's kinds; `None` if all have the same.
 fn top_priority(bundle: &ServiceBundle, model: ModelId) -> Option<u8> {
     let kinds = bundle.kinds.values().filter(|kind| kind.model == model);
     let priorities: Vec<u8> = kinds.map(|kind| kind.priority).collect();
@@ -449,9 +455,9 @@
     top.filter(|_| differ)
 }
 
-/// Worth of a kind's lane: weight per second of service, the more the tail
-/// counts the more in favour of short kinds.
-fn lane_worth(bundle: &ServiceBundle, kind: &RequestKind) -> f64 {
+/// Value of a kind's lane: weight per second of service. A larger tail objective
+/// favours kinds with short service times more strongly.
+fn lane_value(bundle: &ServiceBundle, kind: &RequestKind) -> f64 {
     let exponent = bundle.objective.tail.clamp(1.0, MAX_TAIL_EXPONENT);
     kind.weight / kind.service_time.as_secs_f64().max(1e-3).powf(exponent)
 }
--- a/crates/policy/src/router/rebundle.rs
+++ b/crates/policy/src/router/rebundle.rs
@@ -1,4 +1,5 @@
-//! Moving the state to a new bundle: servers and open attempts by name.
+//! Migration of the router's state to a new bundle: servers and open attempts
+//! are matched by name.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,7 +12,8 @@
 use crate::queue::WaitId;
 
 impl RequestRouter {
-    /// Moves state to a new bundle; returns the waiting requests that must arrive again.
+    /// Migrates the state to a new bundle; returns the waiting requests, which must
+    /// arrive again.
     pub fn rebundle(
         &mut self,
         now: Moment,
--- a/crates/policy/src/router/wake.rs
+++ b/crates/policy/src/router/wake.rs
@@ -1,4 +1,4 @@
-//! Waiting requests: which can go on, which are too late.
+//! Waiting requests: which can start, which have expired.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::queue::{QueuedRequest, WaitId};
 
 impl RequestRouter {
-    /// Names the waiting requests that can go on, or are too late.
+    /// Returns the steps of waiting requests that can start or have expired.
     pub fn poll(&mut self, now: Moment) -> Vec<(WaitId, RouteStep)> {
         let mut steps = Vec::new();
         let busy: Vec<ModelId> = self
@@ -23,7 +23,7 @@
         for model in busy {
             self.poll_expired(now, model, &mut steps);
             self.poll_local(now, model, &mut steps);
-            self.poll_away(now, model, &mut steps);
+            self.poll_remote(now, model, &mut steps);
         }
         steps
     }
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Sends waiting requests away while that beats their wait.
-    pub(super) fn poll_away(
+    /// Forwards waiting requests while that completes them sooner than waiting.
+    pub(super) fn poll_remote(
         &mut self,
         now: Moment,
         model: ModelId,
@@ -85,21 +85,21 @@
             let local = self
                 .local_wait(now, request.kind, request.deadline)
                 .map(|wait| wait + request.service);
-            let away = self.choose_remote(now, &request.payload);
-            if let Some(away) = self.prefer_remote(now, model, local, away) {
+            let remote = self.choose_remote(now, &request.payload);
+            if let Some(remote) = self.prefer_remote(now, model, local, remote) {
                 steps.push((
                     request.id,
-                    self.start_forward(&request.payload, away.center),
+                    self.start_forward(&request.payload, remote.center),
                 ));
                 continue;
             }
             let back = self.pools[model].queue.push(request);
-            debug_assert!(back.is_ok(), "a request taken out fits back in");
+            debug_assert!(back.is_ok(), "a popped request fits back into the queue");
             return;
         }
     }
 
-    /// Whether a server has room for what waits first.
+    /// Whether a server has room for the next request of the queue.
     pub(super) fn has_room(&self, now: Moment, model: ModelId) -> bool {
         let pool = &self.pools[model];
         let eager = pool
@@ -110,7 +110,8 @@
         !pool.queue.is_empty() && pool.servers.iter().any(has_room)
     }
 
-    /// Takes back a waiting request whose caller went away; whether it waited.
+    /// Removes a waiting request whose caller disconnected; returns whether it was
+    /// waiting.
     pub fn cancel(&mut self, id: WaitId) -> bool {
         self.pools
             .iter_mut()
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -1,47 +1,47 @@
-//! One backend server as this VM sees it.
+//! State that this VM keeps of one backend server.
 //!
-//! The server's load report lags, so our own count of requests under way
-//! corrects it: what others have there is the report less what we had when it
-//! came, and that part fades with the report's age.
+//! The server's load report lags, so this VM's own count of open requests
+//! corrects it: the load of other senders is the report less this VM's open
+//! requests at the time of receipt, and it decays with the report's age.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use onyxfall_types::Incarnation;
 
+use crate::backoff::ServerBackoff;
 use crate::circuit::CircuitBreaker;
 use crate::limit::AdaptiveLimit;
 use crate::moment::Moment;
-use crate::rest::ServerBackoff;
 
 const REPORT_FRESH: Duration = Duration::from_secs(2);
-const REPORT_FADE: Duration = Duration::from_secs(5);
-const SPEED_GAIN: f64 = 0.3;
-const SPEED_FORGET: Duration = Duration::from_mins(1);
-const MAX_SPEED: f64 = 50.0;
+const REPORT_DECAY: Duration = Duration::from_secs(5);
+const SLOWNESS_GAIN: f64 = 0.3;
+const SLOWNESS_DECAY: Duration = Duration::from_mins(1);
+const MAX_SLOWNESS: f64 = 50.0;
 const RAMP: Duration = Duration::from_secs(5);
 const RAMP_START: f64 = 0.2;
-/// Requests per slot that may be under way: a short queue in the server keeps
-/// its slots busy while the news of a free one is on its way.
+/// Open requests allowed per slot. A short queue in the server keeps its slots
+/// busy while the report of a free one is in transit.
 const HEADROOM: f64 = 1.25;
-/// How much further requests of the best priority may go.
+/// Factor on the allowance for requests of the best priority.
 const EAGER_FACTOR: f64 = 1.6;
 
-/// What a server reports of its load.
+/// Load reported by a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Life of the server.
+    /// Incarnation of the server.
     pub incarnation: Incarnation,
-    /// Requests that it works on.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests that wait in it.
+    /// Requests waiting in the server's own queue.
     pub queued: u32,
-    /// Whether it is leaving.
+    /// Whether the server is draining.
     pub draining: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct HeldReport {
+struct ReceivedReport {
     at: Moment,
     others: f64,
 }
@@ -53,24 +53,24 @@
     expected: Duration,
 }
 
-/// State of one server.
+/// State of one backend server.
 #[derive(Clone, Debug)]
 pub struct ServerState {
     slots: u32,
     open: VecDeque<OpenAttempt>,
-    report: Option<HeldReport>,
+    report: Option<ReceivedReport>,
     incarnation: Incarnation,
     draining: bool,
     limit: AdaptiveLimit,
     circuit: CircuitBreaker,
-    rest: ServerBackoff,
+    backoff: ServerBackoff,
     slowness: f64,
     slowness_at: Moment,
     ramp_from: Option<Moment>,
 }
 
 impl ServerState {
-    /// A server with `slots` slots, nothing known of its load.
+    /// A server with `slots` slots and no known load.
     pub fn new(slots: u32) -> Self {
         Self {
             slots,
@@ -80,104 +80,104 @@
             draining: false,
             limit: AdaptiveLimit::new(slots),
             circuit: CircuitBreaker::new(),
-            rest: ServerBackoff::default(),
+            backoff: ServerBackoff::default(),
             slowness: 1.0,
             slowness_at: Moment::ZERO,
             ramp_from: None,
         }
     }
 
-    /// Declared slots.
+    /// Declared number of slots.
     pub fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Its life, as last reported.
+    /// Incarnation in the last load report.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Whether it is leaving.
+    /// Whether the server is draining.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Marks it as leaving or not.
+    /// Sets whether the server is draining.
     pub fn set_draining(&mut self, draining: bool) {
         self.draining = draining;
     }
 
-    /// Whether its circuit is closed.
+    /// Whether the server's circuit breaker is closed.
     pub fn is_closed(&self) -> bool {
         self.circuit.is_closed()
     }
 
-    /// Our own requests under way there.
+    /// Open requests of this VM on the server.
     pub fn own_open(&self) -> usize {
         self.open.len()
     }
 
-    /// Requests there, ours and others'.
+    /// Estimated requests on the server, of this VM and of other senders.
     pub fn busy(&self, now: Moment) -> f64 {
         self.open.len() as f64 + self.others(now)
     }
 
-    /// Requests that this VM may have under way there, with `members` entries
-    /// in the data centre: what is spare, and at least a fair part.
+    /// Requests that this VM may have open on the server, with `members` entries
+    /// in the data centre: the spare capacity, and at least an equal share.
     pub fn allowance(&self, now: Moment, members: usize) -> f64 {
         let cap = self.limit.get() * self.ramp(now) * HEADROOM;
         let fair = (cap / members.max(1) as f64).floor();
         (cap - self.others(now)).max(fair).max(1.0)
     }
 
-    /// Whether a request may be sent there now; an eager one, which the server
-    /// puts before others, may also queue in it.
+    /// Whether the server has room for a request now. An eager request, which the
+    /// server schedules before others, may also queue in the server.
     pub fn has_room(&self, now: Moment, members: usize, eager: bool) -> bool {
         let factor = if eager { EAGER_FACTOR } else { 1.0 };
         let allowance = (self.allowance(now, members) * factor).round();
         self.is_usable(now) && (self.open.len() as f64) < allowance
     }
 
-    /// Whether it may be used at all.
+    /// Whether drain state, circuit breaker and backoff permit the server's use.
     pub fn is_usable(&self, now: Moment) -> bool {
-        !self.draining && self.circuit.allows(now) && self.rest.allows(now)
+        !self.draining && self.circuit.allows(now) && self.backoff.allows(now)
     }
 
-    /// Notes that it wants nothing from this VM for `time`.
+    /// Records that the server requests a backoff of `time`.
     pub fn record_backoff(&mut self, now: Moment, time: Duration) {
-        self.rest.ask(now, time);
+        self.backoff.ask(now, time);
     }
 
-    /// End of the rest that it wants; none if that is over.
+    /// End of the server's backoff, or `None` if it is over.
     pub fn backoff_end(&self, now: Moment) -> Option<Moment> {
-        self.rest.end(now)
+        self.backoff.end(now)
     }
 
-    /// Notes that it has taken attempt `id`.
+    /// Records that the server has accepted attempt `id`.
     pub fn note_taken(&mut self, id: u64) {
-        self.rest.note_taken(id);
+        self.backoff.note_taken(id);
     }
 
-    /// How many times slower than its peers it answers; 1 is as expected.
+    /// How many times slower than expected the server responds; 1 is as expected.
     pub fn slowness(&self, now: Moment) -> f64 {
-        let idle = (now - self.slowness_at).as_secs_f64() / SPEED_FORGET.as_secs_f64();
+        let idle = (now - self.slowness_at).as_secs_f64() / SLOWNESS_DECAY.as_secs_f64();
         let learned = 1.0 + (self.slowness - 1.0) * (-idle).exp();
-        learned.max(self.overdue(now)).min(MAX_SPEED)
+        learned.max(self.overdue(now)).min(MAX_SLOWNESS)
     }
 
-    /// Expected time to completion of a request that needs `service` there.
+    /// Expected time to completion of a request with service time `service`.
     pub fn expected(&self, now: Moment, service: Duration) -> Duration {
         let slots = f64::from(self.slots.max(1));
         let ahead = (self.busy(now) + 1.0 - slots).max(0.0) / slots;
         service.mul_f64(self.slowness(now) * (1.0 + ahead))
     }
 
-    /// Notes that attempt `id` starts.
+    /// Records the start of attempt `id`.
     pub fn start(&mut self, now: Moment, id: u64, expected: Duration) {
         if self.circuit.allows(now) {
             self.circuit.start(now);
         }
-        self.rest.note_sent(id);
+        self.backoff.note_sent(id);
         self.open.push_back(OpenAttempt {
             id,
             started: now,
@@ -185,58 +185,58 @@
         });
     }
 
-    /// Notes that attempt `id` ended, whatever its outcome.
+    /// Records the end of attempt `id`, whatever its outcome.
     pub fn end(&mut self, id: u64) {
         self.open.retain(|open| open.id != id);
-        self.rest.note_end(id);
+        self.backoff.note_end(id);
     }
 
-    /// Notes a success that took `ratio` times the expected time.
+    /// Records a success that took `ratio` times the expected time.
     pub fn succeed(&mut self, now: Moment, ratio: f64) {
         if self.circuit.succeed() {
             self.ramp_from = Some(now);
         }
         let current = self.slowness(now);
-        self.slowness = (current + SPEED_GAIN * (ratio - current)).max(1.0);
+        self.slowness = (current + SLOWNESS_GAIN * (ratio - current)).max(1.0);
         self.slowness_at = now;
         self.limit.observe(ratio);
     }
 
-    /// Notes a failure; returns whether it opened the circuit.
+    /// Records a failure; returns whether it opened the circuit breaker.
     pub fn fail(&mut self, now: Moment) -> bool {
         self.circuit.fail(now)
     }
 
-    /// Notes that it has stopped reporting its load; one that never reported
-    /// any is not judged by that.
-    pub fn fall_silent(&mut self, now: Moment) {
+    /// Records that the server has stopped sending load reports. A server that
+    /// has never sent one is left alone.
+    pub fn record_unresponsive(&mut self, now: Moment) {
         if self.incarnation.get() != 0 {
             self.circuit.trip(now);
         }
     }
 
-    /// Notes an end that says nothing about the server.
-    pub fn forget(&mut self) {
+    /// Records the end of an attempt whose outcome implies nothing about the server.
+    pub fn end_inconclusive(&mut self) {
         self.circuit.forget();
     }
 
-    /// Takes a load report; returns whether the server came back as a new life.
+    /// Applies a load report; returns whether the server has restarted.
     pub fn report(&mut self, now: Moment, report: &LoadReport) -> bool {
         if report.incarnation < self.incarnation {
             return false;
         }
-        let reborn = report.incarnation > self.incarnation && self.incarnation.get() != 0;
-        if reborn {
+        let restarted = report.incarnation > self.incarnation && self.incarnation.get() != 0;
+        if restarted {
             self.circuit = CircuitBreaker::new();
-            self.rest = ServerBackoff::default();
+            self.backoff = ServerBackoff::default();
             self.slowness = 1.0;
             self.ramp_from = Some(now);
         }
         self.incarnation = report.incarnation;
         let total = f64::from(report.running) + f64::from(report.queued);
         let others = (total - self.open.len() as f64).max(0.0);
-        self.report = Some(HeldReport { at: now, others });
-        reborn
+        self.report = Some(ReceivedReport { at: now, others });
+        restarted
     }
 
     fn others(&self, now: Moment) -> f64 {
@@ -244,7 +244,7 @@
             return 0.0;
         };
         let stale = (now - report.at).saturating_sub(REPORT_FRESH);
-        report.others * (-stale.as_secs_f64() / REPORT_FADE.as_secs_f64()).exp()
+        report.others * (-stale.as_secs_f64() / REPORT_DECAY.as_secs_f64()).exp()
     }
 
     fn overdue(&self, now: Moment) -> f64 {
--- a/crates/policy/src/stop.rs
+++ b/crates/policy/src/shutdown.rs
@@ -1,52 +1,53 @@
-//! The planned stop of an entry VM.
+//! Planned shutdown of an entry VM.
 //!
-//! Running, then a grace in which the VM has left every list and still accepts
-//! (callers hold the old list), then refusing while open requests finish, then
-//! stopped. Phases only go forward.
+//! The phases are running; a grace period, in which the VM is removed from every
+//! list but still accepts requests, since callers still have the old list;
+//! refusing, while open requests finish; stopped. Phases only advance.
 
 use std::time::Duration;
 
 use crate::moment::Moment;
 
-/// Phase of a stop.
+/// Phase of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// No stop was asked for.
+    /// No shutdown was requested.
     Running,
-    /// Left the lists, still accepting.
+    /// Removed from the lists, still accepting requests.
     Grace,
-    /// Refusing new requests, finishing open ones.
+    /// Refusing new requests while open ones finish.
     Refusing,
-    /// Nothing is open, or the bound has passed.
+    /// No request is open, or the time limit has passed.
     Stopped,
 }
 
-/// A stop with its bounds.
+/// A shutdown with its grace period and time limit.
 #[derive(Clone, Debug)]
 pub struct ShutdownPlan {
     grace: Duration,
-    bound: Duration,
+    limit: Duration,
     asked_at: Option<Moment>,
     reached: ShutdownPhase,
 }
 
 impl ShutdownPlan {
-    /// A plan that waits `grace` before refusing and `bound` before cutting.
-    pub fn new(grace: Duration, bound: Duration) -> Self {
+    /// Creates a plan that refuses requests after `grace` and cuts open ones off after
+    /// `limit`, both counted from the request for the shutdown.
+    pub fn new(grace: Duration, limit: Duration) -> Self {
         Self {
             grace,
-            bound: bound.max(grace),
+            limit: limit.max(grace),
             asked_at: None,
             reached: ShutdownPhase::Running,
         }
     }
 
-    /// Asks for the stop; a second time changes nothing.
+    /// Requests the shutdown; a repeated call has no effect.
     pub fn ask(&mut self, now: Moment) {
         self.asked_at.get_or_insert(now);
     }
 
-    /// The phase, with `open` requests still open.
+    /// The current phase, given the number of open requests.
     ///
     /// ```
     /// use onyxfall_policy::{Moment, ShutdownPhase, ShutdownPlan};
@@ -65,7 +66,7 @@
         let elapsed = now - asked_at;
         let phase = if elapsed < self.grace {
             ShutdownPhase::Grace
-        } else if open > 0 && elapsed < self.bound {
+        } else if open > 0 && elapsed < self.limit {
             ShutdownPhase::Refusing
         } else {
             ShutdownPhase::Stopped
@@ -74,7 +75,7 @@
         self.reached
     }
 
-    /// Whether a stop was asked for.
+    /// Whether the shutdown was requested.
     pub fn is_asked(&self) -> bool {
         self.asked_at.is_some()
     }
--- a/crates/policy/src/ticket.rs
+++ b/crates/policy/src/ticket.rs
@@ -1,12 +1,13 @@
-//! Tickets: at most one run across a caller's own retries.
+//! Tickets: at most one run of a request across a caller's own retries.
 //!
-//! A ticket belongs to one life of the VM that issued it. Only that life may
-//! run a request with it, once; a repeat gets the outcome, or may-have-run. A
-//! ticket of a life that is over is never run again, so no shared store and no
-//! comparison of clocks is needed.
+//! A ticket belongs to one incarnation of the VM that issued it. Only that
+//! incarnation may run a request with it, once; a repeat gets the outcome, or
+//! may-have-run. A ticket of an earlier incarnation never runs again, so neither a
+//! shared store nor a comparison of clocks is needed.
 //!
-//! Invariants: `redeem` answers [`TicketState::Fresh`] at most once a ticket;
-//! forgetting an old ticket makes it unusable, not fresh.
+//! Invariants: `redeem` returns [`TicketState::Fresh`] at most once per ticket,
+//! unless the run is reported as not-run; evicting an old ticket makes it unusable,
+//! not fresh.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -19,14 +20,15 @@
 
 const MAC_LEN: usize = 16;
 
-/// Names a ticket: issuer, its life, a serial number and a code of authenticity.
+/// Identifies a ticket: issuer, its incarnation, a serial number and a message
+/// authentication code.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TicketId {
-    /// VM that issued it.
+    /// VM that issued the ticket.
     pub issuer: VmName,
-    /// Life of the issuer.
+    /// Incarnation of the issuer.
     pub incarnation: Incarnation,
-    /// Serial number within that life.
+    /// Serial number within that incarnation.
     pub serial: u64,
     mac: [u8; MAC_LEN],
 }
@@ -48,12 +50,13 @@
     /// The text is not a ticket.
     #[error("not a ticket")]
     Malformed,
-    /// The code does not fit: not issued by this life of this VM.
-    #[error("not issued by this life of this VM")]
+    /// The authentication code does not match: not issued by this incarnation of
+    /// this VM.
+    #[error("not issued by this incarnation of this VM")]
     NotIssued,
-    /// The issuer has forgotten it: too old.
-    #[error("too old: the issuer has forgotten it")]
-    Forgotten,
+    /// The issuer has evicted the ticket.
+    #[error("expired: the issuer has evicted the ticket")]
+    Evicted,
     /// The issuer has too many open tickets.
     #[error("too many open tickets")]
     TooMany,
@@ -85,7 +88,7 @@
 /// How the request of a ticket ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TicketOutcome {
-    /// A whole answer, kept for a repeat.
+    /// A complete response, kept for a repeat.
     Answer {
         /// HTTP status.
         status: u16,
@@ -94,22 +97,22 @@
         /// Body.
         body: Vec<u8>,
     },
-    /// No whole answer.
+    /// No complete response.
     Failed(RequestError),
 }
 
-/// What redeeming a ticket found.
+/// Result of redeeming a ticket.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TicketState {
-    /// First use: the caller of `redeem` must run it and report the end.
+    /// First use: the caller of `redeem` must run the request and report its end.
     Fresh,
-    /// The first use is still running.
+    /// The request is still running.
     Running,
-    /// The first use has ended.
+    /// The request has ended.
     Ended(TicketOutcome),
 }
 
-/// Tickets that one life of a VM has issued.
+/// Tickets issued by one incarnation of a VM.
 pub struct TicketLedger {
     issuer: VmName,
     incarnation: Incarnation,
@@ -121,7 +124,7 @@
 }
 
 impl TicketLedger {
-    /// A ledger that remembers at most `limit` tickets.
+    /// Creates a ledger that keeps at most `limit` tickets.
     pub fn new(issuer: VmName, incarnation: Incarnation, secret: [u8; 32], limit: usize) -> Self {
         Self {
             issuer,
@@ -134,12 +137,12 @@
         }
     }
 
-    /// Number of tickets remembered.
+    /// Number of kept tickets.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// Whether no ticket is remembered.
+    /// Whether no ticket is kept.
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
@@ -148,7 +151,7 @@
     ///
     /// # Errors
     ///
-    /// Every remembered ticket is running and the ledger is full.
+    /// The ledger is full and every kept ticket is running.
     pub fn issue(&mut self) -> Result<TicketId, TicketError> {
         self.make_room()?;
         let serial = self.next_serial;
@@ -162,11 +165,11 @@
         })
     }
 
-    /// Redeems a ticket; [`TicketState::Fresh`] comes once.
+    /// Redeems a ticket; only the first use returns [`TicketState::Fresh`].
     ///
     /// # Errors
     ///
-    /// It was not issued by this life, or is forgotten.
+    /// The ticket was not issued by this incarnation, or is evicted.
     pub fn redeem(&mut self, ticket: &TicketId) -> Result<TicketState, TicketError> {
         let own = ticket.issuer == self.issuer && ticket.incarnation == self.incarnation;
         if !own || ticket.mac != self.mac(ticket.serial) {
@@ -175,7 +178,7 @@
         let state = self
             .states
             .get_mut(&ticket.serial)
-            .ok_or(TicketError::Forgotten)?;
+            .ok_or(TicketError::Evicted)?;
         match state {
             None => {
                 *state = Some(TicketState::Running);
@@ -187,7 +190,7 @@
 
     /// Reports how the run of a ticket ended.
     ///
-    /// A run that was not-run makes the ticket usable again.
+    /// An outcome with the verdict not-run makes the ticket usable again.
     pub fn end(&mut self, ticket: &TicketId, outcome: TicketOutcome) {
         let Some(state) = self.states.get_mut(&ticket.serial) else {
             return;
@@ -195,7 +198,7 @@
         debug_assert_eq!(
             *state,
             Some(TicketState::Running),
-            "only a running ticket ends"
+            "ended a ticket that is not running"
         );
         let not_run = matches!(&outcome, TicketOutcome::Failed(error)
             if error.verdict == onyxfall_types::RunVerdict::NotRun);
@@ -226,7 +229,7 @@
 
     fn mac(&self, serial: u64) -> [u8; MAC_LEN] {
         let mut mac = Hmac::<Sha256>::new_from_slice(&self.secret)
-            .unwrap_or_else(|_| unreachable!("HMAC takes keys of any length"));
+            .unwrap_or_else(|_| unreachable!("HMAC accepts keys of any length"));
         mac.update(self.issuer.as_str().as_bytes());
         mac.update(&self.incarnation.get().to_le_bytes());
         mac.update(&serial.to_le_bytes());
--- a/crates/policy/tests/parts.rs
+++ b/crates/policy/tests/parts.rs
@@ -1,4 +1,4 @@
-//! The parts of the decisions, in tables of cases.
+//! Table-driven tests of the parts of the router.
 
 use std::time::Duration;
 
@@ -25,53 +25,53 @@
     }
 }
 
-fn queue_of_two(worths: [f64; 2]) -> WeightedQueue<()> {
+fn queue_of_two(values: [f64; 2]) -> WeightedQueue<()> {
     let mut queue = WeightedQueue::new(1000);
-    queue.add_lane(KindId::from_index(0), worths[0], 5);
-    queue.add_lane(KindId::from_index(1), worths[1], 5);
+    queue.add_lane(KindId::from_index(0), values[0], 5);
+    queue.add_lane(KindId::from_index(1), values[1], 5);
     queue
 }
 
 struct ShareCase {
     name: &'static str,
-    worths: [f64; 2],
+    values: [f64; 2],
     /// Deadlines of kind 0 and of kind 1.
     deadlines: [u64; 2],
-    /// Out of a hundred pops of equal length, at least.
+    /// Minimum number of pops per kind, out of a hundred of equal service time.
     least: [usize; 2],
 }
 
 #[test]
 fn deadlines_decide_and_every_lane_keeps_its_guarantee() {
-    let far = 1_000_000;
+    let late = 1_000_000;
     let cases = [
         ShareCase {
-            name: "sooner first",
-            worths: [1.0, 1.0],
-            deadlines: [1000, far],
+            name: "earliest deadline first",
+            values: [1.0, 1.0],
+            deadlines: [1000, late],
             least: [74, 24],
         },
         ShareCase {
-            name: "the other way",
-            worths: [1.0, 1.0],
-            deadlines: [far, 1000],
+            name: "earliest deadline first, other kind",
+            values: [1.0, 1.0],
+            deadlines: [late, 1000],
             least: [24, 74],
         },
         ShareCase {
-            name: "worth",
-            worths: [9.0, 1.0],
-            deadlines: [far, 1000],
+            name: "value",
+            values: [9.0, 1.0],
+            deadlines: [late, 1000],
             least: [44, 54],
         },
         ShareCase {
             name: "no starvation",
-            worths: [1000.0, 1.0],
-            deadlines: [1000, far],
+            values: [1000.0, 1.0],
+            deadlines: [1000, late],
             least: [96, 2],
         },
     ];
     for case in cases {
-        let mut queue = queue_of_two(case.worths);
+        let mut queue = queue_of_two(case.values);
         for id in 0..400 {
             let kind = usize::try_from(id % 2).unwrap();
             queue
@@ -100,14 +100,17 @@
         queue.push(queued(id, 1, 5000, 100)).unwrap();
     }
     let wait = |deadline| queue.expected_wait(KindId::from_index(0), at(deadline), 1.0);
-    assert_eq!(wait(1000), Duration::ZERO, "nothing is due before");
-    assert!(wait(9000).is_zero(), "the lane's own guarantee covers it");
+    assert_eq!(wait(1000), Duration::ZERO, "no work is due before");
+    assert!(
+        wait(9000).is_zero(),
+        "the lane's own guarantee bounds the wait"
+    );
     let own = queue.expected_wait(KindId::from_index(1), at(9000), 1.0);
     assert_eq!(own, Duration::from_secs(1));
 }
 
 #[test]
-fn a_lane_is_served_by_deadline_and_late_ones_leave_at_once() {
+fn a_lane_is_served_by_deadline_and_expired_requests_are_returned() {
     let mut queue = queue_of_two([1.0, 1.0]);
     queue.push(queued(1, 0, 500, 100)).unwrap();
     queue.push(queued(2, 0, 300, 100)).unwrap();
@@ -122,7 +125,7 @@
 }
 
 #[test]
-fn a_full_queue_gives_the_request_back() {
+fn a_full_queue_returns_the_request() {
     let mut queue = WeightedQueue::new(1);
     queue.add_lane(KindId::from_index(0), 1.0, 5);
     queue.push(queued(1, 0, 10, 1)).unwrap();
@@ -151,7 +154,7 @@
 }
 
 #[test]
-fn a_cancelled_probe_frees_the_probe() {
+fn a_cancelled_probe_allows_the_next_probe() {
     let mut circuit = CircuitBreaker::new();
     (0..5).for_each(|_| {
         circuit.fail(at(0));
@@ -180,7 +183,7 @@
 }
 
 #[test]
-fn room_is_what_is_spare_and_at_least_a_fair_part() {
+fn room_is_the_spare_capacity_and_at_least_an_equal_share() {
     let cases = [
         RoomCase {
             name: "idle",
@@ -191,7 +194,7 @@
             room: true,
         },
         RoomCase {
-            name: "own full",
+            name: "filled by own requests",
             own: 5,
             reported: None,
             age_ms: 0,
@@ -199,7 +202,7 @@
             room: false,
         },
         RoomCase {
-            name: "others full",
+            name: "filled by other senders",
             own: 2,
             reported: Some(7),
             age_ms: 0,
@@ -207,7 +210,7 @@
             room: false,
         },
         RoomCase {
-            name: "fair part",
+            name: "equal share",
             own: 1,
             reported: Some(9),
             age_ms: 0,
@@ -215,7 +218,7 @@
             room: true,
         },
         RoomCase {
-            name: "old report fades",
+            name: "an old report decays",
             own: 3,
             reported: Some(7),
             age_ms: 60_000,
@@ -241,7 +244,7 @@
 }
 
 #[test]
-fn an_overdue_answer_marks_a_server_slow_before_it_ends() {
+fn an_overdue_response_marks_a_server_slow_before_it_ends() {
     let mut server = ServerState::new(4);
     server.start(at(0), 1, Duration::from_millis(100));
     assert!(server.slowness(at(100)) < 1.5);
@@ -252,13 +255,16 @@
 }
 
 #[test]
-fn an_older_report_is_ignored_and_a_new_life_starts_afresh() {
+fn an_older_report_is_ignored_and_a_restart_resets_the_state() {
     let mut server = ServerState::new(4);
     assert!(!server.report(at(0), &report(2, 0)));
     assert!(!server.report(at(0), &report(1, 4)));
     assert!(server.busy(at(0)).abs() < 1e-9);
-    assert!(server.report(at(0), &report(3, 0)), "a new life");
-    assert!(server.allowance(at(0), 1) < 2.0, "which ramps up slowly");
+    assert!(server.report(at(0), &report(3, 0)), "restarted");
+    assert!(
+        server.allowance(at(0), 1) < 2.0,
+        "the allowance ramps up after a restart"
+    );
     assert!(server.allowance(at(6000), 1) > 3.9);
 }
 
@@ -266,18 +272,18 @@
 fn gaps_in_cache_events_halve_the_confidence() {
     let (key, server) = (PrefixKey(9), ServerId::from_index(0));
     let mut table = PrefixTable::new(4);
-    table.note_events(server, 0, &[CacheEvent::Stored(key)], at(0));
+    table.record_events(server, 0, &[CacheEvent::Stored(key)], at(0));
     let before = table.hit_chance(key, server, at(0));
-    table.note_events(server, 0, &[CacheEvent::Evicted(key)], at(0));
+    table.record_events(server, 0, &[CacheEvent::Evicted(key)], at(0));
     assert!(
         (table.hit_chance(key, server, at(0)) - before).abs() < 1e-9,
         "a repeat is ignored"
     );
-    table.note_events(server, 5, &[CacheEvent::Stored(PrefixKey(1))], at(0));
+    table.record_events(server, 5, &[CacheEvent::Stored(PrefixKey(1))], at(0));
     assert!(table.hit_chance(key, server, at(0)) < before * 0.6, "a gap");
-    table.note_events(server, 6, &[CacheEvent::Evicted(key)], at(0));
+    table.record_events(server, 6, &[CacheEvent::Evicted(key)], at(0));
     assert!(table.hit_chance(key, server, at(0)) == 0.0);
-    (10..30).for_each(|p| table.note_routed(PrefixKey(p), server, at(0)));
+    (10..30).for_each(|p| table.record_routed(PrefixKey(p), server, at(0)));
     assert_eq!(table.len(), 4, "bounded");
 }
 
@@ -301,40 +307,40 @@
 }
 
 #[test]
-fn members_by_news_and_silence() {
+fn member_states_follow_heartbeats_and_timeouts() {
     let cases = [
         MemberCase {
-            name: "heard",
+            name: "recent heartbeat",
             beats: vec![(0, beat("b", 1, false))],
             tick_ms: 1000,
             expected: MemberState::Alive,
         },
         MemberCase {
-            name: "silent",
+            name: "suspected after a timeout",
             beats: vec![(0, beat("b", 1, false))],
             tick_ms: 4000,
             expected: MemberState::Suspect,
         },
         MemberCase {
-            name: "gone",
+            name: "gone after a longer timeout",
             beats: vec![(0, beat("b", 1, false))],
             tick_ms: 11_000,
             expected: MemberState::Gone,
         },
         MemberCase {
-            name: "leaving is not taken back by the same life",
+            name: "the same incarnation cannot revoke leaving",
             beats: vec![(0, beat("b", 1, true)), (100, beat("b", 1, false))],
             tick_ms: 200,
             expected: MemberState::Leaving,
         },
         MemberCase {
-            name: "a new life is alive",
+            name: "a new incarnation is alive",
             beats: vec![(0, beat("b", 1, true)), (100, beat("b", 2, false))],
             tick_ms: 200,
             expected: MemberState::Alive,
         },
         MemberCase {
-            name: "older news is ignored",
+            name: "an older incarnation is ignored",
             beats: vec![(0, beat("b", 2, false)), (100, beat("b", 1, true))],
             tick_ms: 200,
             expected: MemberState::Alive,
@@ -356,7 +362,7 @@
 }
 
 #[test]
-fn a_vm_that_hears_of_a_later_life_of_its_own_takes_a_later_one() {
+fn a_vm_that_receives_a_later_incarnation_of_its_own_adopts_a_later_one() {
     let mut table = MemberTable::new(beat("a", 5, false), MemberTiming::default());
     assert!(!table.hear(at(0), &beat("a", 5, false)));
     assert!(table.hear(at(0), &beat("a", 9, false)));
@@ -364,7 +370,7 @@
 }
 
 #[test]
-fn a_duty_moves_when_its_owner_is_silent() {
+fn a_duty_moves_when_its_owner_is_unresponsive() {
     let mut table = MemberTable::new(beat("a", 1, false), MemberTiming::default());
     table.hear(at(0), &beat("b", 1, false));
     let duty = (0..50)
@@ -408,7 +414,7 @@
 }
 
 #[test]
-fn tickets_of_other_lives_and_forged_ones_are_refused() {
+fn tickets_of_other_incarnations_and_forged_ones_are_refused() {
     let ticket = ledger(1).issue().unwrap();
     assert_eq!(ledger(2).redeem(&ticket), Err(TicketError::NotIssued));
     let forged: TicketId = format!("vm~1~0~{}", "00".repeat(16)).parse().unwrap();
@@ -423,17 +429,17 @@
 }
 
 #[test]
-fn a_forgotten_ticket_is_not_fresh() {
+fn an_evicted_ticket_is_not_fresh() {
     let mut ledger = ledger(1);
     let first = ledger.issue().unwrap();
     for _ in 0..4 {
         ledger.issue().unwrap();
     }
-    assert_eq!(ledger.redeem(&first), Err(TicketError::Forgotten));
+    assert_eq!(ledger.redeem(&first), Err(TicketError::Evicted));
 }
 
 #[test]
-fn running_tickets_are_never_forgotten() {
+fn running_tickets_are_never_evicted() {
     let mut ledger = ledger(1);
     for _ in 0..4 {
         let ticket = ledger.issue().unwrap();
@@ -443,27 +449,27 @@
 }
 
 #[test]
-fn members_of_another_data_centre_live_by_its_word() {
-    let far = |name: &str| MemberHeartbeat {
-        center: "far".parse().unwrap(),
+fn members_of_another_data_centre_follow_its_lists() {
+    let remote = |name: &str| MemberHeartbeat {
+        center: "other".parse().unwrap(),
         ..beat(name, 1, false)
     };
-    let center = "far".parse().unwrap();
+    let center = "other".parse().unwrap();
     let state = |table: &MemberTable, name: &str| table.get(&name.parse().unwrap()).unwrap().state;
     let mut table = MemberTable::new(beat("a", 1, false), MemberTiming::default());
-    table.receive_members(at(0), &center, &[far("x"), far("y")]);
+    table.receive_members(at(0), &center, &[remote("x"), remote("y")]);
     let hash = table.serving_hash(&center);
     table.receive_center(at(9000), &center);
     table.tick(at(11_000));
     assert_eq!(
         state(&table, "x"),
         MemberState::Alive,
-        "kept alive by the data centre's word"
+        "refreshed by the data centre"
     );
-    table.receive_members(at(11_000), &center, &[far("x")]);
+    table.receive_members(at(11_000), &center, &[remote("x")]);
     assert_eq!(state(&table, "y"), MemberState::Suspect, "no longer listed");
     assert_ne!(table.serving_hash(&center), hash);
-    table.receive_members(at(11_500), &center, &[far("x"), far("y")]);
+    table.receive_members(at(11_500), &center, &[remote("x"), remote("y")]);
     assert_eq!(state(&table, "y"), MemberState::Alive, "listed again");
     assert_eq!(table.serving_hash(&center), hash);
 }
@@ -495,15 +501,15 @@
 }
 
 #[test]
-fn a_server_that_falls_silent_gets_no_work_until_a_probe() {
+fn an_unresponsive_server_gets_no_work_until_a_probe() {
     let mut server = ServerState::new(4);
-    server.fall_silent(at(0));
+    server.record_unresponsive(at(0));
     assert!(
         server.is_usable(at(0)),
-        "one that never reported is not judged"
+        "a server that never reported is left alone"
     );
     server.report(at(0), &report(1, 0));
-    server.fall_silent(at(0));
+    server.record_unresponsive(at(0));
     assert!(!server.is_usable(at(100)));
     assert!(server.is_usable(at(600)), "a probe after the pause");
 }
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -1,4 +1,4 @@
-//! The promises of the decisions, as properties over random histories.
+//! Invariants of the router, as properties over random input sequences.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -112,14 +112,14 @@
         .collect()
 }
 
-/// Replays inputs and checks every step against the promises.
+/// Replays inputs and checks every step against the invariants.
 struct RouterReplay {
     bundle: Arc<ServiceBundle>,
     router: RequestRouter,
     now: Moment,
     sequence: u64,
     open: Vec<u64>,
-    away: BTreeMap<u64, CenterId>,
+    forwarded: BTreeMap<u64, CenterId>,
     arrivals: BTreeMap<u64, RequestArrival>,
     grants: BTreeMap<usize, u32>,
     drained: Vec<String>,
@@ -141,7 +141,7 @@
             now: Moment::ZERO,
             sequence: 0,
             open: Vec::new(),
-            away: BTreeMap::new(),
+            forwarded: BTreeMap::new(),
             arrivals: BTreeMap::new(),
             grants: BTreeMap::new(),
             drained: Vec::new(),
@@ -206,7 +206,10 @@
             }
             RouterInput::Poll => {
                 for (id, step) in self.router.poll(self.now) {
-                    let arrival = self.arrivals.remove(&id.0).expect("a waiter is woken once");
+                    let arrival = self
+                        .arrivals
+                        .remove(&id.0)
+                        .expect("a waiting request gets one step");
                     self.check(&arrival, &step);
                 }
             }
@@ -219,7 +222,7 @@
             return;
         }
         let attempt = self.open.swap_remove(pick % self.open.len());
-        self.away.remove(&attempt);
+        self.forwarded.remove(&attempt);
         let outcome = match outcome {
             0 => AttemptOutcome::Success,
             1 => AttemptOutcome::Failed,
@@ -242,7 +245,10 @@
             RouteStep::Run { attempt, server } => {
                 let server = &self.bundle.servers[*server];
                 let region = self.bundle.centers[server.center].region;
-                assert!(arrival.allowed.contains(region), "run outside residency");
+                assert!(
+                    arrival.allowed.contains(region),
+                    "run outside the residency limit"
+                );
                 assert_eq!(
                     server.center,
                     self.router.center(),
@@ -256,20 +262,30 @@
             }
             RouteStep::Forward { attempt, center } => {
                 let region = self.bundle.centers[*center].region;
-                assert!(arrival.allowed.contains(region), "sent outside residency");
-                assert_eq!(arrival.origin, ArrivalOrigin::Caller, "a second hop");
+                assert!(
+                    arrival.allowed.contains(region),
+                    "forwarded outside the residency limit"
+                );
+                assert_eq!(
+                    arrival.origin,
+                    ArrivalOrigin::Caller,
+                    "a peer's request was forwarded"
+                );
                 self.open.push(*attempt);
-                self.away.insert(*attempt, *center);
-                let there = self.away.values().filter(|c| *c == center).count();
+                self.forwarded.insert(*attempt, *center);
+                let open_there = self.forwarded.values().filter(|c| *c == center).count();
                 let grant = self.grants.get(&center.index()).copied().unwrap_or(0);
-                assert!(there <= grant as usize, "a grant was spent twice");
+                assert!(
+                    open_there <= grant as usize,
+                    "more open requests than granted"
+                );
             }
             RouteStep::Refuse(error) => assert_eq!(error.verdict, RunVerdict::NotRun),
             RouteStep::Wait(_) => {
                 assert_eq!(
                     arrival.origin,
                     ArrivalOrigin::Caller,
-                    "a peer's request waits"
+                    "a peer's request must not wait"
                 );
             }
         }
@@ -289,7 +305,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn steps_keep_the_promises(inputs in prop::collection::vec(router_input(), 1..120)) {
+    fn steps_keep_the_invariants(inputs in prop::collection::vec(router_input(), 1..120)) {
         let mut replay = RouterReplay::new(RoutingPolicy::Expected);
         for input in &inputs {
             replay.apply(input);
@@ -297,7 +313,7 @@
     }
 
     #[test]
-    fn local_only_never_sends_away(inputs in prop::collection::vec(router_input(), 1..80)) {
+    fn local_only_never_forwards(inputs in prop::collection::vec(router_input(), 1..80)) {
         let mut replay = RouterReplay::new(RoutingPolicy::LocalOnly);
         for input in &inputs {
             replay.apply(input);
@@ -320,20 +336,20 @@
     #[test]
     fn retries_stay_within_a_tenth(firsts in prop::collection::vec(any::<bool>(), 1..2000)) {
         let mut budget = RetryBudget::new();
-        let (mut noted, mut granted) = (0_u32, 0_u32);
+        let (mut recorded, mut granted) = (0_u32, 0_u32);
         for first in firsts {
             if first {
                 budget.note_first();
-                noted += 1;
+                recorded += 1;
             } else if budget.try_spend() {
                 granted += 1;
             }
-            prop_assert!(f64::from(granted) <= 1.0 + f64::from(noted) / 10.0 + 1e-6);
+            prop_assert!(f64::from(granted) <= 1.0 + f64::from(recorded) / 10.0 + 1e-6);
         }
     }
 
     #[test]
-    fn verdict_only_grows(raises in prop::collection::vec(0..3_u8, 1..20)) {
+    fn a_verdict_never_decreases(raises in prop::collection::vec(0..3_u8, 1..20)) {
         let cell = VerdictCell::new();
         let mut before = cell.get();
         for raise in raises {
--- a/crates/policy/tests/router.rs
+++ b/crates/policy/tests/router.rs
@@ -1,4 +1,4 @@
-//! Single decisions of the router, in a table.
+//! Table-driven tests of single decisions of the router.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -54,11 +54,11 @@
 struct DecisionCase {
     name: &'static str,
     kind: &'static str,
-    /// Requests that are under way on the only server.
+    /// Open requests on the only server.
     busy: usize,
-    /// Whether the only server is leaving.
+    /// Whether the only server is draining.
     drained: bool,
-    /// Grants of b1 and of c1.
+    /// Grants of the data centres b1 and c1.
     grants: [u32; 2],
     /// Data centres that failed the request before.
     excluded: &'static [&'static str],
@@ -84,21 +84,21 @@
     DecisionCase {
         name: "full, granted",
         busy: 1,
-        expected: "away b1",
+        expected: "forward b1",
         ..BASE
     },
     DecisionCase {
-        name: "the next best",
+        name: "the second best data centre",
         busy: 1,
         excluded: &["b1"],
-        expected: "away c1",
+        expected: "forward c1",
         ..BASE
     },
     DecisionCase {
         name: "one grant",
         busy: 1,
         grants: [0, 1],
-        expected: "away c1",
+        expected: "forward c1",
         ..BASE
     },
     DecisionCase {
@@ -109,7 +109,7 @@
         ..BASE
     },
     DecisionCase {
-        name: "never away",
+        name: "never forwarded",
         kind: "near",
         busy: 1,
         expected: "wait",
@@ -119,11 +119,11 @@
         name: "residency",
         kind: "bound",
         busy: 1,
-        expected: "away c1",
+        expected: "forward c1",
         ..BASE
     },
     DecisionCase {
-        name: "no time to wait",
+        name: "deadline too close to wait",
         kind: "near",
         busy: 1,
         deadline_ms: 700,
@@ -133,25 +133,25 @@
     DecisionCase {
         name: "drained, granted",
         drained: true,
-        expected: "away b1",
+        expected: "forward b1",
         ..BASE
     },
     DecisionCase {
-        name: "drained, a grant may come",
+        name: "drained, a grant may arrive",
         drained: true,
         grants: [0, 0],
         expected: "wait",
         ..BASE
     },
     DecisionCase {
-        name: "drained, never away",
+        name: "drained, never forwarded",
         kind: "near",
         drained: true,
         expected: "refuse overloaded",
         ..BASE
     },
     DecisionCase {
-        name: "a peer's request is not sent on",
+        name: "a peer's request is not forwarded",
         busy: 1,
         origin: ArrivalOrigin::Peer,
         expected: "refuse overloaded",
@@ -164,7 +164,7 @@
     },
 ];
 
-fn hear(router: &mut RequestRouter, bundle: &ServiceBundle, center: &str, grant: u32) {
+fn receive(router: &mut RequestRouter, bundle: &ServiceBundle, center: &str, grant: u32) {
     let model = bundle.model_id("m").unwrap();
     let models = vec![ModelDigest {
         model,
@@ -203,7 +203,7 @@
 fn describe(bundle: &ServiceBundle, step: &RouteStep) -> String {
     match step {
         RouteStep::Run { server, .. } => format!("run {}", bundle.servers[*server].name),
-        RouteStep::Forward { center, .. } => format!("away {}", bundle.centers[*center].name),
+        RouteStep::Forward { center, .. } => format!("forward {}", bundle.centers[*center].name),
         RouteStep::Wait(_) => "wait".to_owned(),
         RouteStep::Refuse(error) => {
             assert_eq!(error.verdict, RunVerdict::NotRun);
@@ -241,8 +241,8 @@
         if case.drained {
             router.drain(&"s1".parse().unwrap(), Incarnation::new(1));
         }
-        hear(&mut router, &bundle, "b1", case.grants[0]);
-        hear(&mut router, &bundle, "c1", case.grants[1]);
+        receive(&mut router, &bundle, "b1", case.grants[0]);
+        receive(&mut router, &bundle, "c1", case.grants[1]);
         let step = router.arrive(Moment::ZERO, arrival(&bundle, &case));
         assert_eq!(describe(&bundle, &step), case.expected, "{}", case.name);
     }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -1,55 +1,55 @@
-//! What came of requests at the old and at the new version.
+//! Counts of request outcomes on the old and on the new version.
 //!
-//! Counts only grow, and each VM's counts reach the others as sums under short tags. A
-//! sum that falls has lost a VM; what that VM had seen still holds, so the largest sum
-//! that was told counts.
+//! Counts only grow, and VMs receive each other's counts as sums under short tags. A sum
+//! that decreases has lost a VM, but the counts of that VM are still valid, so the largest
+//! received sum is used.
 
 use std::collections::{BTreeMap, HashMap};
 
 use onyxfall_types::{RegionName, RouteName, stable_hash};
 
-/// Times slower than usual from which an answer counts as slow, in steps.
+/// Steps of slowness: ratios to the usual time from which a response counts as slow.
 pub const SLOW_RATIOS: [f64; 4] = [1.5, 2.0, 3.0, 5.0];
-/// Groups of servers by which the new version's answers are counted: a server that fails
-/// by itself is in one of them.
+/// Number of server groups in which the new version's responses are counted. A server with a
+/// fault of its own affects only its group.
 pub(crate) const GROUPS: usize = 16;
 
-/// A version of a service while two have servers.
+/// Side of a rollout: the old or the new version of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum VersionSide {
-    /// Any other than the one that is ordered.
+    /// Any version other than the ordered one.
     Old,
-    /// The one that is ordered.
+    /// The ordered version.
     New,
 }
 
-/// How an answer of a server was.
+/// Outcome of a request on a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ResponseOutcome {
-    /// A failure of the server's own.
+    /// A failure caused by the server.
     Failed,
-    /// A success that took so many times as long as usual.
+    /// A success, with the ratio of its time to the usual time.
     Succeeded {
-        /// Times the usual; none where that is not known.
+        /// Ratio to the usual time; `None` if that is not known.
         ratio: Option<f64>,
     },
 }
 
-/// Counts of answers.
+/// Counts of responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EvidenceCounts {
-    /// Answers.
+    /// All responses.
     pub answers: u64,
-    /// Those that were failures.
+    /// Failures.
     pub failures: u64,
-    /// Those whose time is known, by [`SLOW_RATIOS`] that they reached.
+    /// Responses with a known time that reached each of [`SLOW_RATIOS`].
     pub slow: [u64; SLOW_RATIOS.len()],
-    /// Those whose time is known.
+    /// Responses with a known time.
     pub timed: u64,
 }
 
 impl EvidenceCounts {
-    fn note(&mut self, outcome: ResponseOutcome) {
+    fn record(&mut self, outcome: ResponseOutcome) {
         self.answers += 1;
         match outcome {
             ResponseOutcome::Failed => self.failures += 1,
@@ -72,64 +72,64 @@
         }
     }
 
-    /// These counts and others.
+    /// Sum with other counts.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         self.combine(other, u64::saturating_add)
     }
 
-    /// These counts without earlier ones.
+    /// Difference to earlier counts.
     #[must_use]
     pub fn since(self, before: Self) -> Self {
         self.combine(before, u64::saturating_sub)
     }
 }
 
-/// Short name of counts in messages between VMs.
+/// Short tag of counts in messages between VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EvidenceTag(pub u32);
 
-/// Counts of this VM, of the others of its region, and of other regions.
+/// Counts of this VM, of the other VMs of its region, and of other regions.
 #[derive(Clone, Debug, Default)]
 struct CountCell {
     own: EvidenceCounts,
-    told: EvidenceCounts,
+    regional: EvidenceCounts,
     far: BTreeMap<RegionName, EvidenceCounts>,
     tag: u32,
 }
 
-/// Whose counts are summed.
+/// Scope over which counts are summed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EvidenceScope {
-    /// Those of this region.
+    /// VMs of this region.
     Region,
-    /// Those of all.
+    /// VMs of all regions.
     Fleet,
 }
 
 impl CountCell {
     fn total(&self, scope: EvidenceScope) -> EvidenceCounts {
-        let near = self.own.plus(self.told);
+        let regional = self.own.plus(self.regional);
         match scope {
-            EvidenceScope::Region => near,
-            EvidenceScope::Fleet => self.far.values().fold(near, |sum, far| sum.plus(*far)),
+            EvidenceScope::Region => regional,
+            EvidenceScope::Fleet => self.far.values().fold(regional, |sum, far| sum.plus(*far)),
         }
     }
 }
 
-/// Counts of a route.
+/// Counts of a route, from every source.
 #[derive(Clone, Debug, Default)]
 struct RouteCells {
     old: CountCell,
     new: [CountCell; GROUPS],
 }
 
-/// Sums of a route.
+/// Summed counts of a route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RouteCounts {
-    /// At the old version.
+    /// Counts of the old version.
     pub(crate) old: EvidenceCounts,
-    /// At the new version, by groups of servers.
+    /// Counts of the new version, by groups of servers.
     pub(crate) new: [EvidenceCounts; GROUPS],
 }
 
@@ -141,7 +141,7 @@
         }
     }
 
-    /// These counts, with what the new version did since `before` only.
+    /// These counts, with those of the new version since `before` only.
     pub(crate) fn since(&self, before: &Self) -> Self {
         Self {
             old: self.old,
@@ -155,87 +155,94 @@
     }
 }
 
-/// Where counts with a tag stand.
+/// Position of the counts with a tag.
 #[derive(Clone, Debug)]
-struct CellPlace {
+struct CellPosition {
     route: RouteName,
-    /// Group of the new version; none for the old one.
+    /// Group of the new version; `None` for the old version.
     group: Option<usize>,
 }
 
-/// What came of requests during a roll-out.
+/// Outcomes of requests during a rollout.
 #[derive(Clone, Debug)]
 pub struct RolloutEvidence {
-    /// What tells its tags from those of other roll-outs.
+    /// Part of the tags that distinguishes them from those of other rollouts.
     scope: String,
     routes: BTreeMap<RouteName, RouteCells>,
-    places: HashMap<u32, CellPlace>,
+    positions: HashMap<u32, CellPosition>,
 }
 
 impl RolloutEvidence {
-    /// No evidence yet. Counts that VMs tell each other belong together by `scope`.
+    /// Creates empty evidence. VMs exchange counts of the rollout with the same `scope`.
     pub fn new(scope: &str) -> Self {
         Self {
             scope: scope.to_owned(),
             routes: BTreeMap::new(),
-            places: HashMap::new(),
+            positions: HashMap::new(),
         }
     }
 
-    /// Makes a route known, so that what others tell of it is understood.
+    /// Adds a route, so that received counts of it can be assigned.
     pub fn add_route(&mut self, route: &RouteName) {
         if self.routes.contains_key(route) {
             return;
         }
         let mut cells = RouteCells::default();
-        cells.old.tag = self.place(route, None);
+        cells.old.tag = self.add_tag(route, None);
         for group in 0..GROUPS {
-            cells.new[group].tag = self.place(route, Some(group));
+            cells.new[group].tag = self.add_tag(route, Some(group));
         }
         self.routes.insert(route.clone(), cells);
     }
 
-    fn place(&mut self, route: &RouteName, group: Option<usize>) -> u32 {
+    fn add_tag(&mut self, route: &RouteName, group: Option<usize>) -> u32 {
         let cell = group.map_or_else(|| "old".to_owned(), |group| group.to_string());
         let hash = stable_hash(&["rollout", &self.scope, route.as_str(), &cell]);
         let [_, _, _, _, a, b, c, d] = hash.to_be_bytes();
         let tag = u32::from_be_bytes([a, b, c, d]);
         let route = route.clone();
-        self.places.insert(tag, CellPlace { route, group });
+        self.positions.insert(tag, CellPosition { route, group });
         tag
     }
 
-    /// Notes an answer that this VM has seen. `life` is the hash of the server's life.
-    pub fn note(&mut self, route: &str, side: VersionSide, life: u64, outcome: ResponseOutcome) {
+    /// Records an outcome that this VM observed. `instance` is the hash of the server
+    /// instance.
+    pub fn record(
+        &mut self,
+        route: &str,
+        side: VersionSide,
+        instance: u64,
+        outcome: ResponseOutcome,
+    ) {
         let Some(cells) = self.routes.get_mut(route) else {
             return;
         };
         let cell = match side {
             VersionSide::Old => &mut cells.old,
-            VersionSide::New => &mut cells.new[group_of(life)],
+            VersionSide::New => &mut cells.new[group_of(instance)],
         };
-        cell.own.note(outcome);
+        cell.own.record(outcome);
     }
 
-    /// Counts of this VM that are not zero, to tell the others of its region.
+    /// Nonzero counts of this VM, for the other VMs of its region.
     pub fn own(&self) -> impl Iterator<Item = (EvidenceTag, EvidenceCounts)> {
-        self.told_counts(|cell| cell.own)
+        self.nonzero_counts(|cell| cell.own)
     }
 
-    /// Counts of this region that are not zero, to tell other regions.
+    /// Nonzero counts of this region, for other regions.
     pub fn of_region(&self) -> impl Iterator<Item = (EvidenceTag, EvidenceCounts)> {
-        self.told_counts(|cell| cell.total(EvidenceScope::Region))
+        self.nonzero_counts(|cell| cell.total(EvidenceScope::Region))
     }
 
-    /// Counts that another region has told.
+    /// Nonzero counts received from another region.
     pub fn of_far(
         &self,
         region: &RegionName,
     ) -> impl Iterator<Item = (EvidenceTag, EvidenceCounts)> {
-        self.told_counts(|cell| cell.far.get(region).copied().unwrap_or_default())
+        self.nonzero_counts(|cell| cell.far.get(region).copied().unwrap_or_default())
     }
 
-    fn told_counts(
+    fn nonzero_counts(
         &self,
         counts: impl Fn(&CountCell) -> EvidenceCounts,
     ) -> impl Iterator<Item = (EvidenceTag, EvidenceCounts)> {
@@ -246,18 +253,18 @@
             .filter(|(_, counts)| counts.answers > 0)
     }
 
-    /// Takes the sum of the counts of the other VMs of the region; whether the tag is
-    /// known.
+    /// Applies the sum of the counts of the other VMs of the region; returns whether the tag
+    /// is known.
     pub fn set_regional(&mut self, tag: EvidenceTag, counts: EvidenceCounts) -> bool {
         let cell = self.cell(tag);
         let is_known = cell.is_some();
         if let Some(cell) = cell {
-            cell.told = cell.told.combine(counts, u64::max);
+            cell.regional = cell.regional.combine(counts, u64::max);
         }
         is_known
     }
 
-    /// Takes the counts of another region; whether the tag is known.
+    /// Applies the counts of another region; returns whether the tag is known.
     pub fn set_far(
         &mut self,
         region: &RegionName,
@@ -274,15 +281,15 @@
     }
 
     fn cell(&mut self, tag: EvidenceTag) -> Option<&mut CountCell> {
-        let place = self.places.get(&tag.0)?;
-        let cells = self.routes.get_mut(&place.route)?;
-        Some(match place.group {
+        let position = self.positions.get(&tag.0)?;
+        let cells = self.routes.get_mut(&position.route)?;
+        Some(match position.group {
             None => &mut cells.old,
             Some(group) => &mut cells.new[group],
         })
     }
 
-    /// Sums by route.
+    /// Summed counts by route.
     pub(crate) fn counts(&self, scope: EvidenceScope) -> BTreeMap<RouteName, RouteCounts> {
         let sums = self.routes.iter().map(|(route, cells)| {
             let counts = RouteCounts {
@@ -294,7 +301,7 @@
         sums.collect()
     }
 
-    /// Sums of the old and of the new version by route, of all VMs.
+    /// Counts of the old and of the new version by route, summed over all VMs.
     pub fn by_route(&self) -> impl Iterator<Item = (&RouteName, EvidenceCounts, EvidenceCounts)> {
         self.routes.iter().map(|(route, cells)| {
             let none = EvidenceCounts::default();
@@ -306,6 +313,6 @@
     }
 }
 
-fn group_of(life: u64) -> usize {
-    usize::try_from(life % GROUPS as u64).unwrap_or_default()
+fn group_of(instance: u64) -> usize {
+    usize::try_from(instance % GROUPS as u64).unwrap_or_default()
 }
--- a/crates/rollout/src/history.rs
+++ b/crates/rollout/src/history.rs
@@ -1,7 +1,7 @@
-//! What a roll-out's counts were at earlier moments: what each slice of time has brought,
-//! and where ratios begin anew.
+//! Counts of a rollout at earlier moments: the counts of each slice of time, and the starts
+//! of the windows over which likelihood ratios are computed.
 //!
-//! Invariant: a ratio begins at the end of a slice.
+//! Invariant: a window starts at the end of a slice.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -12,17 +12,17 @@
 use crate::evidence::{EvidenceCounts, EvidenceScope, RolloutEvidence, RouteCounts};
 use crate::judge::{RolloutJudgement, judge_histories};
 
-/// Shortest and longest time in which both versions are compared, and answers that end it
-/// between them: while traffic moves, the shares of both change within tenths of a second,
-/// and few answers say little.
-const LEAST_SLICE: Duration = Duration::from_millis(200);
-const MOST_SLICE: Duration = Duration::from_secs(1);
+/// Shortest and longest slice of time over which both versions are compared, and the number
+/// of responses that ends a slice between these: during a shift, the shares of both versions
+/// change within tenths of a second, and few responses carry little information.
+const MIN_SLICE: Duration = Duration::from_millis(200);
+const MAX_SLICE: Duration = Duration::from_secs(1);
 const SLICE_ANSWERS: u64 = 60;
-/// Number of such times that are kept apart; beyond, neighbours are joined.
-const SLICES: usize = 40;
-/// Time between two beginnings of ratios, and the number of them that are kept.
+/// Maximum number of slices; beyond it, adjacent slices are merged.
+const MAX_SLICES: usize = 40;
+/// Time between the starts of two windows, and the maximum number of windows.
 const WINDOW_STEP: Duration = Duration::from_secs(2);
-const WINDOWS: usize = 6;
+const MAX_WINDOWS: usize = 6;
 
 /// Counts of both versions.
 #[derive(Clone, Copy, Debug, Default)]
@@ -57,54 +57,54 @@
         self.old.answers + self.new.answers
     }
 
-    /// Part of the answers that the new version gave.
-    fn new_part(self) -> f64 {
+    /// Share of the responses that came from the new version.
+    fn new_share(self) -> f64 {
         self.new.answers as f64 / self.answers().max(1) as f64
     }
 }
 
-/// Counts of a route by time.
+/// Counts of a route over time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RouteHistory {
-    /// From the beginning.
+    /// Counts from the start of the rollout.
     pub(crate) total: RouteCounts,
-    /// What each slice of time has brought, the earliest first.
+    /// Counts of each slice of time, the earliest first.
     pub(crate) slices: Vec<SideCounts>,
-    /// Counts from later moments on, with the slice that each begins with.
-    pub(crate) begun: Vec<(usize, RouteCounts)>,
+    /// Counts of each window, with the index of its first slice.
+    pub(crate) windows: Vec<(usize, RouteCounts)>,
 }
 
 impl RouteHistory {
-    /// Counts of which nothing is known but their sum.
+    /// A history with a single slice.
     pub(crate) fn undivided(total: &RouteCounts) -> Self {
         Self {
             total: *total,
             slices: vec![SideCounts::of(total)],
-            begun: Vec::new(),
+            windows: Vec::new(),
         }
     }
 
-    /// The sum with another route of the same times.
+    /// Sum with another route over the same slices and windows.
     pub(crate) fn plus(self, other: &Self) -> Self {
         if self.slices.is_empty() {
             return other.clone();
         }
         let slices = self.slices.iter().zip(&other.slices);
-        let begun = self.begun.iter().zip(&other.begun);
+        let windows = self.windows.iter().zip(&other.windows);
         Self {
             total: self.total.plus(&other.total),
             slices: slices.map(|(one, other)| one.plus(*other)).collect(),
-            begun: begun
+            windows: windows
                 .map(|((first, one), (_, other))| (*first, one.plus(other)))
                 .collect(),
         }
     }
 }
 
-/// Counts of all routes.
+/// A value per route.
 type RouteSums<T> = BTreeMap<RouteName, T>;
 
-/// Counts where a slice of time has ended.
+/// Counts at the end of a slice.
 #[derive(Clone, Debug)]
 struct SliceEnd {
     at: Moment,
@@ -129,29 +129,29 @@
     sides.fold(SideCounts::default(), SideCounts::plus)
 }
 
-/// Counts at earlier moments.
+/// Counts at earlier moments, for one scope.
 #[derive(Clone, Debug, Default)]
 struct CountHistory {
     ends: VecDeque<SliceEnd>,
-    /// Counts where ratios begin, at the ends of slices.
-    begun: VecDeque<(Moment, RouteSums<RouteCounts>)>,
+    /// Counts at the start of each window, which is the end of a slice.
+    windows: VecDeque<(Moment, RouteSums<RouteCounts>)>,
 }
 
 impl CountHistory {
-    fn note(&mut self, now: Moment, counts: &RouteSums<RouteCounts>) {
+    fn record(&mut self, now: Moment, counts: &RouteSums<RouteCounts>) {
         if !self.ends_slice(now, all_counts(counts)) {
             return;
         }
         self.ends.push_back(SliceEnd::new(now, counts));
-        let begun = self.begun.back();
-        if begun.is_none_or(|(at, _)| now - *at >= WINDOW_STEP) {
-            self.begun.push_back((now, counts.clone()));
-            if self.begun.len() > WINDOWS {
-                self.begun.pop_front();
+        let last = self.windows.back();
+        if last.is_none_or(|(at, _)| now - *at >= WINDOW_STEP) {
+            self.windows.push_back((now, counts.clone()));
+            if self.windows.len() > MAX_WINDOWS {
+                self.windows.pop_front();
             }
         }
-        if self.ends.len() > SLICES {
-            self.join_alike();
+        if self.ends.len() > MAX_SLICES {
+            self.merge_most_similar();
         }
     }
 
@@ -160,26 +160,26 @@
             return true;
         };
         let has_enough = all.since(end.all).answers() >= SLICE_ANSWERS;
-        now - end.at >= if has_enough { LEAST_SLICE } else { MOST_SLICE }
+        now - end.at >= if has_enough { MIN_SLICE } else { MAX_SLICE }
     }
 
-    /// Joins the two neighbours in which the versions had the most alike shares, which
-    /// loses least.
-    fn join_alike(&mut self) {
-        let mut joined = None;
+    /// Merges the two adjacent slices with the most similar shares of the new version, which
+    /// loses the least information.
+    fn merge_most_similar(&mut self) {
+        let mut merged = None;
         let mut least = f64::INFINITY;
         let mut start = SideCounts::default();
         for (index, (end, next)) in self.ends.iter().zip(self.ends.iter().skip(1)).enumerate() {
-            let before = end.all.since(start).new_part();
-            let after = next.all.since(end.all).new_part();
+            let before = end.all.since(start).new_share();
+            let after = next.all.since(end.all).new_share();
             let change = (after - before).abs();
-            let is_begun = self.begun.iter().any(|(at, _)| *at == end.at);
-            if change < least && !is_begun {
-                (joined, least) = (Some(index), change);
+            let is_window_start = self.windows.iter().any(|(at, _)| *at == end.at);
+            if change < least && !is_window_start {
+                (merged, least) = (Some(index), change);
             }
             start = end.all;
         }
-        if let Some(index) = joined {
+        if let Some(index) = merged {
             self.ends.remove(index);
         }
     }
@@ -193,27 +193,27 @@
             before = end;
             slice
         });
-        let begun = self.begun.iter().map(|(at, begun)| {
-            let before = begun.get(route).copied().unwrap_or_default();
+        let windows = self.windows.iter().map(|(at, window)| {
+            let start = window.get(route).copied().unwrap_or_default();
             let first = self.ends.partition_point(|end| end.at <= *at);
-            (first, counts.since(&before))
+            (first, counts.since(&start))
         });
         RouteHistory {
             total: *counts,
             slices: slices.collect(),
-            begun: begun.collect(),
+            windows: windows.collect(),
         }
     }
 
     fn judge(&mut self, now: Moment, counts: &RouteSums<RouteCounts>) -> RolloutJudgement {
-        self.note(now, counts);
+        self.record(now, counts);
         let routes = counts.iter();
         let routes = routes.map(|(route, counts)| self.route(route, counts));
         judge_histories(&routes.collect::<Vec<_>>())
     }
 }
 
-/// The counts of this region and of all by time.
+/// Counts of this region and of the whole fleet over time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EvidenceHistory {
     region: CountHistory,
@@ -221,12 +221,12 @@
 }
 
 impl EvidenceHistory {
-    /// Judges a version by what this region has seen, and by what all have.
+    /// Judges a version by the counts of this region and by those of the whole fleet.
     pub(crate) fn judge(&mut self, now: Moment, evidence: &RolloutEvidence) -> RolloutJudgement {
         let region = evidence.counts(EvidenceScope::Region);
         let fleet = evidence.counts(EvidenceScope::Fleet);
         let mut judgement = self.fleet.judge(now, &fleet);
-        judgement.join(&self.region.judge(now, &region));
+        judgement.merge(&self.region.judge(now, &region));
         judgement
     }
 }
--- a/crates/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -1,19 +1,19 @@
-//! What the operator orders.
+//! Rollout orders of the operator.
 
 use std::time::Duration;
 
 use onyxfall_types::{ServiceName, SoftwareVersion};
 
-/// Longest time that an order may give.
+/// Maximum time that an order may give.
 pub const LONGEST_ROLLOUT: Duration = Duration::from_hours(24 * 7);
 
-/// The wish that a service's traffic move to servers of a version.
+/// Order of the operator to shift a service's traffic to servers of a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutOrder {
     /// The service.
     pub service: ServiceName,
-    /// The version.
+    /// The ordered version.
     pub target: SoftwareVersion,
-    /// Time from the order within which it is to be over.
+    /// Time from the order within which the rollout must be finished.
     pub time: Duration,
 }
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -1,11 +1,11 @@
-//! What the store says of a roll-out.
+//! Record of a rollout in the store.
 
 use std::fmt;
 use std::str::FromStr;
 
 use onyxfall_types::SoftwareVersion;
 
-/// How far a roll-out is. It never goes back to running.
+/// State of a rollout. A finished rollout never returns to running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutState {
     /// Both versions have servers.
@@ -16,21 +16,21 @@
     RolledBack,
 }
 
-/// Why a roll-out ended as it did.
+/// Reason for the end of a rollout.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RolloutReason {
-    /// It has not ended.
+    /// The rollout has not ended.
     #[default]
     None,
     /// The new version did as well as the old one, or there was no old one.
     Proved,
-    /// More of its answers were failures.
+    /// The new version had a higher share of failures.
     Failures,
-    /// More of its answers were slow.
+    /// The new version had a higher share of slow responses.
     Slowness,
-    /// It could not be shown in time that it does as well.
+    /// The new version could not be shown in time to do as well as the old one.
     Unproved,
-    /// The operator took the order back.
+    /// The operator withdrew the order.
     Withdrawn,
 }
 
@@ -44,7 +44,7 @@
         Self::Withdrawn,
     ];
 
-    /// Word in records and logs.
+    /// Name of the reason in records and logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::None => "none",
@@ -72,17 +72,17 @@
     }
 }
 
-/// The record of a service's latest roll-out.
+/// Record of a service's latest rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutRecord {
-    /// Revision of the order that it answers.
+    /// Revision of the order that the record belongs to.
     pub order: u64,
-    /// The version that was ordered.
+    /// The ordered version.
     pub target: SoftwareVersion,
-    /// When it began, in milliseconds of Unix time by the clock of its writer.
+    /// Start of the rollout in milliseconds of Unix time, by the clock of the writer.
     pub began_ms: u64,
-    /// How far it is.
+    /// State of the rollout.
     pub state: RolloutState,
-    /// Why it ended.
+    /// Why the rollout ended.
     pub reason: RolloutReason,
 }
--- a/crates/rollout/src/service.rs
+++ b/crates/rollout/src/service.rs
@@ -1,4 +1,4 @@
-//! The roll-out of one service, as this VM knows it.
+//! State of the rollout of one service on this VM.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,59 +7,60 @@
 use onyxfall_types::{RegionName, RouteName, SoftwareVersion, StorePosition};
 use rand::Rng;
 
+use crate::canary::{CANARY_SHARE, CanaryShare};
 use crate::evidence::{RolloutEvidence, VersionSide};
 use crate::history::EvidenceHistory;
 use crate::judge::{BadMetric, RolloutJudgement};
 use crate::order::RolloutOrder;
 use crate::record::{RolloutReason, RolloutRecord, RolloutState};
-use crate::sample::{CanaryShare, SAMPLE_PART};
 use crate::timeline::RolloutTimeline;
 
-/// Time between two looks at the evidence.
+/// Minimum time between two judgements of the evidence.
 const JUDGE_INTERVAL: Duration = Duration::from_millis(200);
-/// Answers of the new version in a region without which it is not proved there.
-const LEAST_ANSWERS: u64 = 10;
-/// Answers until which the sample is larger where the usual one would not bring so many
-/// before the traffic moves, and the age from which that is known.
+/// Minimum number of responses of the new version for it to count as proved.
+const MIN_ANSWERS: u64 = 10;
+/// Number of responses of the new version that the canary phase aims for. If the usual canary
+/// share would bring fewer before the shift, the larger share is used until this number is
+/// reached, from the age on at which the request rate is known.
 const SCARCE_ANSWERS: u64 = 40;
 const RATE_AFTER: Duration = Duration::from_secs(2);
-/// How long nothing is sent to the old servers after the record has said that they stop.
-/// Later the same versions may have servers again, by an ordinary release.
+/// How long the old servers get no request after the record was completed. Later the same
+/// versions may have servers again, by an ordinary release.
 const COMPLETED_GATE: Duration = Duration::from_secs(15);
-/// Age of the process from which an order that it sees was just written.
+/// Age of the process from which an order that it receives was just written.
 const LIVE_AFTER: Duration = Duration::from_secs(3);
 
 /// Servers of a service in a region, by version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerCounts {
-    /// Of any other version than the one that is ordered.
+    /// Servers of any version other than the ordered one.
     pub old: usize,
-    /// Of the one that is ordered.
+    /// Servers of the ordered version.
     pub new: usize,
 }
 
-/// Where requests of a service go.
+/// Phase of a rollout, which determines where requests of the service go.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RolloutPhase {
-    /// The store's record does not say yet that the roll-out runs.
+    /// The store has no record of a running rollout yet.
     Waiting,
-    /// A sample goes to the new version.
+    /// A canary share of the requests goes to the new version.
     Sampling,
-    /// The region moves its traffic.
+    /// The region shifts its traffic.
     Shifting {
-        /// Part of the requests that go to the new version.
+        /// Share of the requests that go to the new version.
         new_part: f64,
-        /// Whether the old servers may take what the new ones cannot.
+        /// Whether the old servers may serve requests for which the new ones have no room.
         old_is_spare: bool,
     },
-    /// The old servers stop.
+    /// The new version has taken over and the old servers stop.
     Completed,
-    /// The new version is given up.
+    /// The new version is aborted.
     RolledBack,
 }
 
 impl RolloutPhase {
-    /// Word for logs and metrics.
+    /// Name of the phase in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Waiting => "waiting",
@@ -71,19 +72,19 @@
     }
 }
 
-/// Which servers of a service may have requests.
+/// Which servers of a service may get requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionRule {
-    /// The version that is ordered.
+    /// The ordered version.
     pub target: SoftwareVersion,
-    /// The side that requests go to unless something else is said.
+    /// The side that requests go to by default.
     pub usual: VersionSide,
-    /// Whether nothing at all may begin at the other side.
+    /// Whether no request may start on the other side.
     pub other_is_closed: bool,
 }
 
-/// An order with the position at which it was written. Its revision tells orders apart,
-/// and is the same in the eras of a store that was restored.
+/// An order with the position at which it was written. The revision of the position
+/// identifies the order, also across the eras of a restored store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PendingOrder {
     pub(crate) order: RolloutOrder,
@@ -91,56 +92,56 @@
 }
 
 impl PendingOrder {
-    /// Number by which records name it.
+    /// Number by which records refer to the order.
     pub(crate) fn number(&self) -> u64 {
         self.position.revision()
     }
 }
 
-/// A record with the revision at which it stands in the store; 0 if it does not.
+/// A record with its revision in the store; 0 if it is not in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct HeldRecord {
+struct StoredRecord {
     record: RolloutRecord,
     revision: u64,
     seen: Moment,
-    /// The store has lost it, and has it to be written again.
+    /// Whether the store has lost the record, so that it must be written again.
     is_lost: bool,
 }
 
-/// A region's word that it moves its traffic.
+/// Mark in the store that a region has started to shift its traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ShiftMark {
     order: u64,
     revision: u64,
     seen: Moment,
-    /// The store has lost it, and has it to be written again.
+    /// Whether the store has lost the mark, so that it must be written again.
     is_lost: bool,
 }
 
-/// A change of the store that is due.
+/// A write to the store that is due.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum DueWrite {
-    /// The record of the roll-out.
+    /// The record of the rollout.
     Record(RolloutRecord),
-    /// The word that this region moves its traffic.
+    /// The mark that this region has started to shift its traffic.
     Shift,
 }
 
-/// The roll-out of a service.
+/// State of the rollout of one service.
 #[derive(Clone, Debug)]
 pub(crate) struct ServiceRollout {
     order: Option<PendingOrder>,
     seen: Moment,
-    held: Option<HeldRecord>,
+    stored: Option<StoredRecord>,
     marks: BTreeMap<RegionName, ShiftMark>,
     longest_answer: Duration,
     pub(crate) evidence: RolloutEvidence,
     history: EvidenceHistory,
     judged: Option<Moment>,
     pub(crate) judgement: RolloutJudgement,
-    /// In which way this VM has found the version bad.
+    /// Metric by which this VM has judged the version bad.
     verdict: Option<BadMetric>,
-    sample: CanaryShare,
+    canary: CanaryShare,
 }
 
 impl ServiceRollout {
@@ -148,7 +149,7 @@
         Self {
             order: None,
             seen: Moment::ZERO,
-            held: None,
+            stored: None,
             marks: BTreeMap::new(),
             longest_answer: Duration::ZERO,
             evidence: RolloutEvidence::new(""),
@@ -156,15 +157,15 @@
             judged: None,
             judgement: RolloutJudgement::default(),
             verdict: None,
-            sample: CanaryShare::default(),
+            canary: CanaryShare::default(),
         }
     }
 
-    /// Takes the operator's order. Another one than before begins with no evidence.
-    pub(crate) fn take_order(&mut self, now: Moment, revision: u64, order: RolloutOrder) {
+    /// Applies the operator's order. A new order starts with empty evidence.
+    pub(crate) fn apply_order(&mut self, now: Moment, revision: u64, order: RolloutOrder) {
         let position = StorePosition::from_order(revision);
         let order = PendingOrder { order, position };
-        if self.is_written_again(&order) {
+        if self.is_rewritten(&order) {
             self.renumber(order);
             return;
         }
@@ -178,28 +179,28 @@
         self.order = Some(order);
     }
 
-    /// Whether an order is the one that is held: at the same revision, or written again
-    /// after the store was restored from a copy that lacked it.
-    fn is_written_again(&self, order: &PendingOrder) -> bool {
-        self.order.as_ref().is_some_and(|held| {
-            let is_later_era = order.position.era() > held.position.era();
-            held.order == order.order && (is_later_era || held.number() == order.number())
+    /// Whether an order is the current one: at the same revision, or written again after the
+    /// store was restored from a copy without it.
+    fn is_rewritten(&self, order: &PendingOrder) -> bool {
+        self.order.as_ref().is_some_and(|current| {
+            let is_later_era = order.position.era() > current.position.era();
+            current.order == order.order && (is_later_era || current.number() == order.number())
         })
     }
 
-    /// Goes on with the order that is held under the number that it has now. What stands
-    /// under another number in the store has to be written again.
+    /// Continues the current order under its new number. Records and marks that the store has
+    /// under the old number must be written again.
     fn renumber(&mut self, order: PendingOrder) {
         let number = order.number();
-        let before = self.order.replace(order).map(|held| held.number());
+        let before = self.order.replace(order).map(|current| current.number());
         if before == Some(number) {
             return;
         }
-        if let Some(held) = &mut self.held
-            && Some(held.record.order) == before
+        if let Some(stored) = &mut self.stored
+            && Some(stored.record.order) == before
         {
-            held.record.order = number;
-            held.is_lost = true;
+            stored.record.order = number;
+            stored.is_lost = true;
         }
         for mark in self.marks.values_mut() {
             if Some(mark.order) == before {
@@ -209,7 +210,7 @@
         }
     }
 
-    /// The operator has taken the order back.
+    /// Applies the operator's withdrawal of the order.
     pub(crate) fn withdraw(&mut self) {
         self.order = None;
     }
@@ -218,23 +219,23 @@
         self.order.as_ref()
     }
 
-    /// Takes the store's record.
-    pub(crate) fn take_record(&mut self, now: Moment, revision: u64, record: RolloutRecord) {
-        if let Some(held) = &mut self.held {
-            if held.revision >= revision {
+    /// Applies the store's record.
+    pub(crate) fn apply_record(&mut self, now: Moment, revision: u64, record: RolloutRecord) {
+        if let Some(stored) = &mut self.stored {
+            if stored.revision >= revision {
                 return;
             }
-            let is_ended = held.record.state != RolloutState::Running;
-            let is_same = held.record.order == record.order;
+            let is_ended = stored.record.state != RolloutState::Running;
+            let is_same = stored.record.order == record.order;
             if is_same && is_ended && record.state == RolloutState::Running {
-                // An end is final: this is an older copy of the record.
-                held.revision = revision;
-                held.is_lost = true;
+                // A final state is never left: the store has an older copy of the record.
+                stored.revision = revision;
+                stored.is_lost = true;
                 return;
             }
         }
         let seen = now;
-        self.held = Some(HeldRecord {
+        self.stored = Some(StoredRecord {
             record,
             revision,
             seen,
@@ -242,24 +243,30 @@
         });
     }
 
-    /// Notes that the record no longer stands in the store.
+    /// Records that the store has lost the record.
     pub(crate) fn remove_record(&mut self) {
-        if let Some(held) = &mut self.held {
-            held.revision = 0;
-            held.is_lost = true;
+        if let Some(stored) = &mut self.stored {
+            stored.revision = 0;
+            stored.is_lost = true;
         }
     }
 
-    /// Notes that a region's word no longer stands in the store.
-    pub(crate) fn lose_mark(&mut self, region: &RegionName) {
+    /// Records that the store has lost a region's mark.
+    pub(crate) fn remove_mark(&mut self, region: &RegionName) {
         if let Some(mark) = self.marks.get_mut(region) {
             mark.revision = 0;
             mark.is_lost = true;
         }
     }
 
-    /// Takes a region's word that it moves its traffic.
-    pub(crate) fn take_mark(&mut self, now: Moment, region: RegionName, order: u64, revision: u64) {
+    /// Applies a region's mark that it has started to shift its traffic.
+    pub(crate) fn apply_mark(
+        &mut self,
+        now: Moment,
+        region: RegionName,
+        order: u64,
+        revision: u64,
+    ) {
         let before = self.marks.get(&region);
         if before.is_some_and(|mark| mark.revision >= revision) {
             return;
@@ -275,17 +282,17 @@
         self.marks.insert(region, mark);
     }
 
-    /// Revision of a region's word; 0 if there is none.
+    /// Revision of a region's mark; 0 if the store has none.
     pub(crate) fn mark_revision(&self, region: &RegionName) -> u64 {
         self.marks.get(region).map_or(0, |mark| mark.revision)
     }
 
-    /// Revision of the record; 0 if there is none.
+    /// Revision of the record; 0 if the store has none.
     pub(crate) fn record_revision(&self) -> u64 {
-        self.held.as_ref().map_or(0, |held| held.revision)
+        self.stored.as_ref().map_or(0, |stored| stored.revision)
     }
 
-    /// Makes the routes of the service known, and how long their answers may take.
+    /// Sets the routes of the service and the longest time of their responses.
     pub(crate) fn set_routes(&mut self, routes: &[RouteName], longest_answer: Duration) {
         for route in routes {
             self.evidence.add_route(route);
@@ -293,24 +300,24 @@
         self.longest_answer = longest_answer;
     }
 
-    /// The record that answers the order in force; of a withdrawn order the last one.
-    fn current(&self) -> Option<&HeldRecord> {
-        let held = self.held.as_ref()?;
+    /// The record of the current order; after a withdrawal the last record.
+    fn current(&self) -> Option<&StoredRecord> {
+        let stored = self.stored.as_ref()?;
         let order = self.order.as_ref().map(PendingOrder::number);
         order
-            .is_none_or(|order| order == held.record.order)
-            .then_some(held)
+            .is_none_or(|order| order == stored.record.order)
+            .then_some(stored)
     }
 
-    /// Time since the roll-out began.
+    /// Time since the start of the rollout.
     fn age(&self, now: Moment, unix_start: Duration) -> Duration {
         let is_live = self.seen - Moment::ZERO >= LIVE_AFTER;
-        let told = self.current().map(|held| held.record.began_ms);
-        let told = told.filter(|_| !is_live).map(|began| {
+        let began = self.current().map(|stored| stored.record.began_ms);
+        let age = began.filter(|_| !is_live).map(|began| {
             let began = Duration::from_millis(began);
             (unix_start + (now - Moment::ZERO)).saturating_sub(began)
         });
-        told.unwrap_or_default().max(now - self.seen)
+        age.unwrap_or_default().max(now - self.seen)
     }
 
     fn timeline(&self) -> RolloutTimeline {
@@ -318,20 +325,20 @@
         RolloutTimeline::new(time, self.longest_answer)
     }
 
-    /// Where requests go now in a region; none if they go anywhere.
+    /// Phase of the rollout in a region; `None` if requests may go to any version.
     pub(crate) fn phase(
         &self,
         now: Moment,
         unix_start: Duration,
         region: &RegionName,
     ) -> Option<RolloutPhase> {
-        let state = self.current().map(|held| held.record.state);
+        let state = self.current().map(|stored| stored.record.state);
         match (state, &self.order) {
             (Some(RolloutState::Completed), _) => {
-                let seen = self.current().map_or(now, |held| held.seen);
+                let seen = self.current().map_or(now, |stored| stored.seen);
                 (now - seen < COMPLETED_GATE).then_some(RolloutPhase::Completed)
             }
-            // An order that is taken back: the version gets nothing before the record says so.
+            // After a withdrawal the version is closed before the record is rolled back.
             (Some(RolloutState::RolledBack), _) | (Some(RolloutState::Running), None) => {
                 Some(RolloutPhase::RolledBack)
             }
@@ -356,20 +363,20 @@
         }
     }
 
-    /// Why it has ended, or this VM has given it up.
+    /// Why the rollout has ended, or why this VM has judged the version bad.
     pub(crate) fn reason(&self) -> RolloutReason {
-        let told = self.current().map(|held| held.record.reason);
-        match (told, self.verdict) {
+        let recorded = self.current().map(|stored| stored.record.reason);
+        match (recorded, self.verdict) {
             (Some(RolloutReason::None) | None, Some(metric)) => metric.reason(),
-            (told, _) => told.unwrap_or_default(),
+            (recorded, _) => recorded.unwrap_or_default(),
         }
     }
 
-    /// Which servers may have requests, in a phase.
+    /// Which servers may get requests in a phase.
     pub(crate) fn rule(&self, phase: RolloutPhase) -> Option<VersionRule> {
-        let target = match (&self.order, &self.held) {
+        let target = match (&self.order, &self.stored) {
             (Some(order), _) => order.order.target.clone(),
-            (None, Some(held)) => held.record.target.clone(),
+            (None, Some(stored)) => stored.record.target.clone(),
             (None, None) => return None,
         };
         let (usual, other_is_closed) = match phase {
@@ -385,7 +392,7 @@
         })
     }
 
-    /// The side that a new request goes to, where that is not the usual one.
+    /// The side that a new request goes to, if that is not the default one.
     pub(crate) fn other_side(
         &mut self,
         now: Moment,
@@ -395,7 +402,7 @@
         match phase {
             RolloutPhase::Sampling => {
                 let is_scarce = self.is_scarce(now);
-                self.sample
+                self.canary
                     .count(is_scarce, rng)
                     .then_some(VersionSide::New)
             }
@@ -406,25 +413,25 @@
         }
     }
 
-    /// Whether so few requests come that the usual sample would prove nothing.
+    /// Whether there are so few requests that the usual canary share would prove nothing.
     fn is_scarce(&self, now: Moment) -> bool {
         let age = now - self.seen;
         let rate = self.judgement.old_answers as f64 / age.as_secs_f64().max(1.0);
-        let usual = rate * SAMPLE_PART * self.timeline().shift_at.as_secs_f64();
+        let usual = rate * CANARY_SHARE * self.timeline().shift_at.as_secs_f64();
         let is_enough = self.judgement.answers >= SCARCE_ANSWERS || usual >= SCARCE_ANSWERS as f64;
         age >= RATE_AFTER && !is_enough
     }
 
-    /// Counts a request that is sent to the new version as one of the sample.
+    /// Counts a request to the new version against the canary share.
     pub(crate) fn claim_canary(&mut self) {
-        self.sample.take();
+        self.canary.claim();
     }
 
-    /// Looks at the evidence; the verdict, if it is new.
+    /// Judges the evidence; returns the verdict if it is new.
     pub(crate) fn judge(&mut self, now: Moment) -> Option<BadMetric> {
         let is_running = self
             .current()
-            .is_some_and(|held| held.record.state == RolloutState::Running);
+            .is_some_and(|stored| stored.record.state == RolloutState::Running);
         let is_due = self.judged.is_none_or(|at| now - at >= JUDGE_INTERVAL);
         if !is_running || !is_due || self.verdict.is_some() {
             return None;
@@ -435,12 +442,12 @@
         self.verdict
     }
 
-    /// Whether the new version does as well as the old one in this region.
+    /// Whether the new version is proved to do as well as the old one.
     fn is_proved(&self) -> bool {
-        self.judgement.is_clear() && self.judgement.answers >= LEAST_ANSWERS
+        self.judgement.is_clear() && self.judgement.answers >= MIN_ANSWERS
     }
 
-    /// The change of the store that is due.
+    /// The write to the store that is due, if any.
     pub(crate) fn due(
         &self,
         now: Moment,
@@ -449,17 +456,17 @@
         servers: &BTreeMap<RegionName, ServerCounts>,
     ) -> Option<DueWrite> {
         let Some(order) = &self.order else {
-            let held = self.held.as_ref()?;
-            let is_running = held.record.state == RolloutState::Running;
-            return is_running.then(|| end(&held.record, RolloutReason::Withdrawn));
+            let stored = self.stored.as_ref()?;
+            let is_running = stored.record.state == RolloutState::Running;
+            return is_running.then(|| final_record(&stored.record, RolloutReason::Withdrawn));
         };
-        let Some(held) = self.current() else {
-            return self.beginning(now, unix_start, order, servers);
+        let Some(stored) = self.current() else {
+            return self.first_record(now, unix_start, order, servers);
         };
-        if held.is_lost {
-            return Some(DueWrite::Record(held.record.clone()));
+        if stored.is_lost {
+            return Some(DueWrite::Record(stored.record.clone()));
         }
-        if held.record.state != RolloutState::Running {
+        if stored.record.state != RolloutState::Running {
             return None;
         }
         let own_mark = self.marks.get(region);
@@ -467,7 +474,7 @@
             return Some(DueWrite::Shift);
         }
         if let Some(metric) = self.verdict {
-            return Some(end(&held.record, metric.reason()));
+            return Some(final_record(&stored.record, metric.reason()));
         }
         let (steps, age) = (self.timeline(), self.age(now, unix_start));
         let has_shifted = |region: &RegionName| {
@@ -483,15 +490,15 @@
         let is_shifted =
             serving.peek().is_some() && serving.all(|(region, n)| n.new > 0 && has_shifted(region));
         if is_shifted && age >= steps.complete_at {
-            return Some(end(&held.record, RolloutReason::Proved));
+            return Some(final_record(&stored.record, RolloutReason::Proved));
         }
-        let is_late = !is_shifted && age >= steps.give_up_at;
-        is_late.then(|| end(&held.record, RolloutReason::Unproved))
+        let is_late = !is_shifted && age >= steps.abort_at;
+        is_late.then(|| final_record(&stored.record, RolloutReason::Unproved))
     }
 
-    /// The first record of an order. Where no server has another version, there is nothing
-    /// to move.
-    fn beginning(
+    /// The first record of an order. It is completed at once if no server has another
+    /// version.
+    fn first_record(
         &self,
         now: Moment,
         unix_start: Duration,
@@ -519,8 +526,8 @@
     }
 }
 
-/// The record of a roll-out that has ended.
-fn end(record: &RolloutRecord, reason: RolloutReason) -> DueWrite {
+/// The final record of a rollout.
+fn final_record(record: &RolloutRecord, reason: RolloutReason) -> DueWrite {
     let state = if reason == RolloutReason::Proved {
         RolloutState::Completed
     } else {
