--- a/crates/rollout/src/table.rs
+++ b/crates/rollout/src/table.rs
@@ -1,4 +1,4 @@
-//! The roll-outs of all services.
+//! Rollouts of all services.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,40 +15,40 @@
     DueWrite, PendingOrder, RolloutPhase, ServerCounts, ServiceRollout, VersionRule,
 };
 
-/// How much longer each further VM waits with a change that is due: the first one's is
-/// known to it by then.
-const WRITER_TURN: Duration = Duration::from_millis(500);
-/// Pause before a change is tried again that did not come back by the watch.
-const WRITE_AGAIN: Duration = Duration::from_millis(700);
+/// Additional delay per rank before a VM makes a write that is due: by then it has received
+/// the write of the VM before it.
+const WRITER_DELAY: Duration = Duration::from_millis(500);
+/// Pause before a write is retried that has not been received from the store's watch.
+const RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// The place of this VM among those that write records.
+/// Rank of this VM among the VMs that write records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreWriter {
-    /// Number of VMs that go first, of all regions.
+    /// Number of VMs before this one, of all regions.
     pub rank: u32,
-    /// Number of VMs of this region that go first.
+    /// Number of VMs before this one, of this region.
     pub near_rank: u32,
 }
 
-/// A change of the store: it is made only if the key still has the revision.
+/// A write to the store, on the condition that the key still has the expected revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RolloutWrite {
-    /// The record of a roll-out.
+    /// The record of a rollout.
     Record {
         /// The service.
         service: ServiceName,
-        /// Revision of the record that it replaces; 0 for none.
+        /// Revision of the record to replace; 0 for none.
         expected: u64,
         /// The record.
         record: RolloutRecord,
     },
-    /// The word that a region moves its traffic.
+    /// The mark that a region has started to shift its traffic.
     Shift {
         /// The service.
         service: ServiceName,
         /// The region.
         region: RegionName,
-        /// Revision of the word that it replaces; 0 for none.
+        /// Revision of the mark to replace; 0 for none.
         expected: u64,
         /// Revision of the order.
         order: u64,
@@ -56,7 +56,7 @@
 }
 
 impl RolloutWrite {
-    /// The service that it is about.
+    /// Service of the rollout.
     pub fn service(&self) -> &ServiceName {
         match self {
             Self::Record { service, .. } | Self::Shift { service, .. } => service,
@@ -64,24 +64,24 @@
     }
 }
 
-/// A roll-out, for logs, metrics and operators.
+/// Status of a rollout, for logs, metrics and operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutStatus {
     /// The service.
     pub service: ServiceName,
-    /// The version that is ordered.
+    /// The ordered version.
     pub target: SoftwareVersion,
-    /// Where requests go.
+    /// Phase of the rollout on this VM.
     pub phase: RolloutPhase,
-    /// Why requests go there, if the roll-out has ended or this VM has given it up.
+    /// Reason of the phase, if the rollout has ended or this VM has judged the version bad.
     pub reason: RolloutReason,
-    /// What speaks against the version.
+    /// Evidence against the version.
     pub judgement: RolloutJudgement,
     /// Counts of the old and of the new version by route.
     pub routes: Vec<(RouteName, EvidenceCounts, EvidenceCounts)>,
 }
 
-/// A change that is due, and since when.
+/// A write that is due, since when, and when it was last tried.
 #[derive(Clone, Debug)]
 struct PendingWrite {
     write: DueWrite,
@@ -89,7 +89,7 @@
     tried: Option<Moment>,
 }
 
-/// The roll-outs that this VM knows of.
+/// State of all rollouts on this VM.
 #[derive(Clone, Debug)]
 pub struct RolloutTable {
     region: RegionName,
@@ -99,7 +99,8 @@
 }
 
 impl RolloutTable {
-    /// No roll-out, for a VM of `region` whose process started at a Unix time.
+    /// Creates a table without rollouts, for a VM of `region` whose process started at the
+    /// Unix time `unix_start`.
     pub fn new(region: RegionName, unix_start: Duration) -> Self {
         Self {
             region,
@@ -109,36 +110,36 @@
         }
     }
 
-    /// Whether no roll-out was ever heard of: then nothing has to be counted.
+    /// Whether no rollout was ever received, so that no outcomes need to be counted.
     pub fn is_empty(&self) -> bool {
         self.services.is_empty()
     }
 
-    /// The services with a roll-out.
+    /// Services with a rollout.
     pub fn services(&self) -> impl Iterator<Item = &ServiceName> {
         self.services.keys()
     }
 
-    /// The version that is ordered for a service.
+    /// The version ordered for a service.
     pub fn target(&self, service: &ServiceName) -> Option<SoftwareVersion> {
-        let held = self.services.get(service)?.order()?;
-        Some(held.order.target.clone())
+        let pending = self.services.get(service)?.order()?;
+        Some(pending.order.target.clone())
     }
 
-    /// Takes the operator's order.
+    /// Applies the operator's order.
     pub fn take_order(&mut self, now: Moment, revision: u64, order: RolloutOrder) {
         let rollout = self.rollout(&order.service);
-        rollout.take_order(now, revision, order);
+        rollout.apply_order(now, revision, order);
     }
 
-    /// Takes the operator's order back.
+    /// Applies the operator's withdrawal of an order.
     pub fn withdraw(&mut self, service: &ServiceName) {
         if let Some(rollout) = self.services.get_mut(service) {
             rollout.withdraw();
         }
     }
 
-    /// Takes the store's record of a service.
+    /// Applies the store's record of a service.
     pub fn take_record(
         &mut self,
         now: Moment,
@@ -147,10 +148,10 @@
         record: RolloutRecord,
     ) {
         let rollout = self.rollout(service);
-        rollout.take_record(now, revision, record);
+        rollout.apply_record(now, revision, record);
     }
 
-    /// Takes a region's word that it moves its traffic by an order.
+    /// Applies a region's mark that it has started to shift its traffic by an order.
     pub fn take_shift(
         &mut self,
         now: Moment,
@@ -160,20 +161,20 @@
         revision: u64,
     ) {
         let rollout = self.rollout(service);
-        rollout.take_mark(now, region, order, revision);
+        rollout.apply_mark(now, region, order, revision);
     }
 
-    /// Notes that the store has lost the record of a service.
+    /// Records that the store has lost the record of a service.
     pub fn remove_record(&mut self, service: &ServiceName) {
         if let Some(rollout) = self.services.get_mut(service) {
             rollout.remove_record();
         }
     }
 
-    /// Notes that the store has lost a region's word that it moves its traffic.
+    /// Records that the store has lost a region's mark.
     pub fn remove_shift(&mut self, service: &ServiceName, region: &RegionName) {
         if let Some(rollout) = self.services.get_mut(service) {
-            rollout.lose_mark(region);
+            rollout.remove_mark(region);
         }
     }
 
@@ -183,20 +184,20 @@
             .or_insert_with(ServiceRollout::new)
     }
 
-    /// Makes the routes of a service known, and how long their answers may take.
+    /// Sets the routes of a service and the longest time of their responses.
     pub fn set_routes(&mut self, service: &ServiceName, routes: &[RouteName], longest: Duration) {
         if let Some(rollout) = self.services.get_mut(service) {
             rollout.set_routes(routes, longest);
         }
     }
 
-    /// Where requests of a service go; none if they go anywhere.
+    /// Phase of a service's rollout; `None` if requests may go to any version.
     pub fn phase(&self, now: Moment, service: &ServiceName) -> Option<RolloutPhase> {
         let rollout = self.services.get(service)?;
         rollout.phase(now, self.unix_start, &self.region)
     }
 
-    /// Which servers of each service may have requests.
+    /// Which servers of each service may get requests.
     pub fn rules(&self, now: Moment) -> impl Iterator<Item = (&ServiceName, VersionRule)> {
         self.services.iter().filter_map(move |(service, rollout)| {
             let phase = rollout.phase(now, self.unix_start, &self.region)?;
@@ -204,7 +205,7 @@
         })
     }
 
-    /// The side that a new request goes to, where that is not the usual one.
+    /// The side that a new request goes to, if that is not the default one.
     pub fn other_side(
         &mut self,
         now: Moment,
@@ -215,48 +216,50 @@
         self.services.get_mut(service)?.other_side(now, phase, rng)
     }
 
-    /// Counts a request that is sent to the new version as one of the sample.
+    /// Counts a request to the new version against the canary share.
     pub fn claim_canary(&mut self, service: &ServiceName) {
         if let Some(rollout) = self.services.get_mut(service) {
             rollout.claim_canary();
         }
     }
 
-    /// Notes an answer that this VM has seen.
+    /// Records an outcome that this VM observed. `instance` is the hash of the server
+    /// instance.
     pub fn note(
         &mut self,
         service: &ServiceName,
         route: &str,
         side: VersionSide,
-        life: u64,
+        instance: u64,
         outcome: ResponseOutcome,
     ) {
         if let Some(rollout) = self.services.get_mut(service) {
-            rollout.evidence.note(route, side, life, outcome);
+            rollout.evidence.record(route, side, instance, outcome);
         }
     }
 
-    /// Counts of this VM, to tell the others.
+    /// Nonzero counts of this VM, for the other VMs of its region.
     pub fn own_evidence(&self) -> impl Iterator<Item = (EvidenceTag, EvidenceCounts)> {
         self.services
             .values()
             .flat_map(|rollout| rollout.evidence.own())
     }
 
-    /// Takes the sum of the other VMs' counts; whether the tag is known.
+    /// Applies the sum of the counts of the other VMs of the region; returns whether the tag
+    /// is known.
     pub fn set_regional(&mut self, tag: EvidenceTag, counts: EvidenceCounts) -> bool {
         let mut rollouts = self.services.values_mut();
         rollouts.any(|rollout| rollout.evidence.set_regional(tag, counts))
     }
 
-    /// Counts of this region, to tell other regions.
+    /// Nonzero counts of this region, for other regions.
     pub fn region_evidence(&self) -> impl Iterator<Item = (EvidenceTag, EvidenceCounts)> {
         self.services
             .values()
             .flat_map(|rollout| rollout.evidence.of_region())
     }
 
-    /// Counts that another region has told.
+    /// Nonzero counts received from another region.
     pub fn far_evidence(
         &self,
         region: &RegionName,
@@ -266,7 +269,7 @@
             .flat_map(move |rollout| rollout.evidence.of_far(region))
     }
 
-    /// Takes the counts of another region; whether the tag is known.
+    /// Applies the counts of another region; returns whether the tag is known.
     pub fn set_far(
         &mut self,
         region: &RegionName,
@@ -277,7 +280,7 @@
         rollouts.any(|rollout| rollout.evidence.set_far(region, tag, counts))
     }
 
-    /// Looks at the evidence; the services whose new version was found bad.
+    /// Judges the evidence; returns the services whose new version is newly found bad.
     pub fn judge(&mut self, now: Moment) -> Vec<(ServiceName, BadMetric)> {
         let judged = self.services.iter_mut();
         judged
@@ -285,8 +288,8 @@
             .collect()
     }
 
-    /// Changes of the store that this VM is to make now. `servers` counts the servers of
-    /// a service by region.
+    /// Writes to the store that this VM must make now. `servers` counts the servers of a
+    /// service by region.
     pub fn due_writes(
         &mut self,
         now: Moment,
@@ -296,7 +299,7 @@
         let mut due_now = Vec::new();
         for (service, rollout) in &self.services {
             let counts = rollout.order();
-            let counts = counts.map(|held| servers(service, &held.order.target));
+            let counts = counts.map(|pending| servers(service, &pending.order.target));
             let counts = counts.unwrap_or_default();
             let due = rollout.due(now, self.unix_start, &self.region, &counts);
             let Some(due) = due else {
@@ -317,7 +320,7 @@
         due_now
     }
 
-    /// Every roll-out, for logs, metrics and operators.
+    /// Status of every rollout, for logs, metrics and operators.
     pub fn statuses(&self, now: Moment) -> impl Iterator<Item = RolloutStatus> {
         self.services.iter().filter_map(move |(service, rollout)| {
             let phase = rollout.phase(now, self.unix_start, &self.region)?;
@@ -343,16 +346,16 @@
         }
     }
 
-    /// Whether it is this VM's turn to make the change now.
+    /// Whether this VM must try the write now; records the attempt if so.
     fn try_now(&mut self, now: Moment, writer: StoreWriter) -> bool {
         let rank = match self.write {
             DueWrite::Record(_) => writer.rank,
             DueWrite::Shift => writer.near_rank,
         };
-        let turn = WRITER_TURN.saturating_mul(rank);
+        let delay = WRITER_DELAY.saturating_mul(rank);
         let is_due = match self.tried {
-            None => now - self.since >= turn,
-            Some(tried) => now - tried >= WRITE_AGAIN,
+            None => now - self.since >= delay,
+            Some(tried) => now - tried >= RETRY_DELAY,
         };
         if is_due {
             self.tried = Some(now);
--- a/crates/rollout/src/timeline.rs
+++ b/crates/rollout/src/timeline.rs
@@ -1,40 +1,40 @@
-//! When the steps of a roll-out are due.
+//! Due times of the steps of a rollout.
 
 use std::time::Duration;
 
-/// Part of the time by which the new version must have taken over: the rest is for a
-/// store that is slow to take the record.
-const COMPLETE_PART: f64 = 0.93;
-/// The same by which a version that is not proved is given up.
-const GIVE_UP_PART: f64 = 0.96;
-/// Part of the time, and longest time, in which the traffic moves: a version that breaks
-/// only under load is to be noticed while others still serve most requests.
-const RAMP_PART: f64 = 0.08;
-const LONGEST_RAMP: Duration = Duration::from_secs(5);
-/// Largest part of the time for the old servers to finish what they run.
-const DRAIN_PART: f64 = 0.2;
+/// Fraction of the time by which the new version must have taken over: the remainder is
+/// for a store that is slow to write the record.
+const COMPLETE_FRACTION: f64 = 0.93;
+/// The same by which a version that is not proved is aborted.
+const ABORT_FRACTION: f64 = 0.96;
+/// Fraction of the time, and maximum time, over which the traffic shifts: a version that
+/// fails only under load must be detected while old servers still serve most requests.
+const RAMP_FRACTION: f64 = 0.08;
+const MAX_RAMP: Duration = Duration::from_secs(5);
+/// Maximum fraction of the time for the old servers to finish their open requests.
+const DRAIN_FRACTION: f64 = 0.2;
 
-/// When the steps of a roll-out are due, from its beginning.
+/// Due times of the steps of a rollout, from its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RolloutTimeline {
-    /// Regions where the new version is proved begin to move their traffic.
+    /// From now on, regions where the new version is proved start to shift their traffic.
     pub shift_at: Duration,
-    /// A region that has not begun by now would not be done in time.
+    /// A region that starts its shift later than this would not finish in time.
     pub shift_until: Duration,
-    /// Time in which a region moves its traffic.
+    /// Time over which a region shifts its traffic.
     pub ramp: Duration,
-    /// Nothing more is sent to the old servers, even where the new ones are full.
+    /// From now on, no request is sent to the old servers, even if the new ones are full.
     pub old_end: Duration,
-    /// The old servers may stop.
+    /// From now on, the old servers may stop.
     pub complete_at: Duration,
-    /// A version that is not proved by now is given up.
-    pub give_up_at: Duration,
+    /// A version that has not taken over by this time is aborted.
+    pub abort_at: Duration,
 }
 
 impl RolloutTimeline {
-    /// The steps of a roll-out that is to be over within `time`, of a service whose
-    /// answers take up to `longest_answer`. The new version is watched on few requests
-    /// for as long as possible: some turn bad late.
+    /// Steps of a rollout that must finish within `time`, of a service whose responses take
+    /// up to `longest_answer`. The canary phase is as long as possible, since some versions
+    /// turn bad late.
     ///
     /// ```
     /// use onyxfall_rollout::RolloutTimeline;
@@ -45,21 +45,21 @@
     /// assert!(steps.complete_at < minute);
     /// ```
     pub fn new(time: Duration, longest_answer: Duration) -> Self {
-        let complete_at = time.mul_f64(COMPLETE_PART);
-        let drain = longest_answer.min(time.mul_f64(DRAIN_PART));
-        let ramp = time.mul_f64(RAMP_PART).min(LONGEST_RAMP);
+        let complete_at = time.mul_f64(COMPLETE_FRACTION);
+        let drain = longest_answer.min(time.mul_f64(DRAIN_FRACTION));
+        let ramp = time.mul_f64(RAMP_FRACTION).min(MAX_RAMP);
         Self {
             shift_at: complete_at.saturating_sub(drain + ramp),
             shift_until: complete_at.saturating_sub(drain / 2 + ramp),
             ramp,
             old_end: complete_at.saturating_sub(drain / 4),
             complete_at,
-            give_up_at: time.mul_f64(GIVE_UP_PART),
+            abort_at: time.mul_f64(ABORT_FRACTION),
         }
     }
 
-    /// Part of the requests that go to the new version so long after the beginning, in a
-    /// region that began to move its traffic at `shifted`.
+    /// Share of the requests that go to the new version at `age` since the start, in a
+    /// region that started to shift its traffic at `shifted`.
     pub fn new_part(&self, age: Duration, shifted: Duration) -> f64 {
         let moved = age.saturating_sub(shifted).as_secs_f64();
         (moved / self.ramp.as_secs_f64().max(f64::MIN_POSITIVE)).clamp(0.0, 1.0)
--- a/crates/rollout/tests/support/mod.rs
+++ b/crates/rollout/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! VMs that carry out roll-outs in virtual time: requests, counts that they tell each
-//! other, and a store of records.
+//! Simulation of VMs that perform a rollout in virtual time: requests, exchange of counts,
+//! and a store of records.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -15,77 +15,77 @@
 use rand::{Rng, SeedableRng};
 
 pub const STEP: Duration = Duration::from_millis(50);
-/// Time until what one VM has counted is known to the others of its region.
-const TELL_STEPS: usize = 4;
-/// Time until a change of the store is known to all VMs.
+/// Steps until the other VMs of the region have received a VM's counts.
+const EXCHANGE_STEPS: usize = 4;
+/// Steps until all VMs have received a change of the store.
 const WATCH_STEPS: usize = 3;
 pub const ROUTES: [&str; 3] = ["long", "short", "look"];
-/// Failures that all servers bring, by route.
-const USUAL_FAILURES: [f64; 3] = [0.0, 0.004, 0.14];
-/// Answers that take half as long again as usual, or more, by the spread of the load.
+/// Share of failures on all servers, by route.
+const BASELINE_FAILURES: [f64; 3] = [0.0, 0.004, 0.14];
+/// Relative spread of the response times.
 const SPREAD: f64 = 0.35;
-/// Part of the answers that a rush slows, and how many times as long they take.
-const RUSH_PART: f64 = 0.25;
-const RUSH_TIMES: f64 = 4.0;
-/// Percent of the servers that fail by themselves, of both versions in each region, and
-/// part of their answers that do.
+/// Share of the responses that a load peak slows, and the factor on their time.
+const PEAK_SHARE: f64 = 0.25;
+const PEAK_FACTOR: f64 = 4.0;
+/// Percentage of servers with a grey failure, of both versions in each region, and the share
+/// of their responses that fail.
 const GREY_PERCENT: usize = 8;
 const GREY_FAILURES: f64 = 0.4;
 const ORDER: u64 = 7;
 
-/// How a version is.
+/// Behaviour of the new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum VersionKind {
     Good,
-    /// Part of its answers are failures.
+    /// A share of its responses are failures.
     Fails(f64),
-    /// Part of its answers take so many times as long.
+    /// A share of its responses is slower by a factor.
     Slows(f64, f64),
-    /// The same on the last route only.
+    /// A share fails, on the last route only.
     FailsOnRoute(f64),
-    /// The same from a time on.
+    /// A share fails, from a time on.
     FailsLate(f64, Duration),
-    /// The same once it gets most of the requests.
+    /// A share fails, once the version gets most of the requests.
     FailsUnderLoad(f64),
-    /// The same in the first region only.
+    /// A share fails, in the first region only.
     FailsInRegion(f64),
 }
 
-/// What slows the servers of both versions.
+/// Load that slows the servers of both versions.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum PlayLoad {
+pub enum ScenarioLoad {
     /// Nothing.
     Steady,
-    /// From a time on a quarter of all answers take four times as long.
-    RushFrom(Duration),
-    /// The same in every other spell of such a length.
-    Spells(Duration),
+    /// From a time on, a quarter of all responses take four times as long.
+    PeakFrom(Duration),
+    /// The same in every other interval of this length.
+    Peaks(Duration),
 }
 
-impl PlayLoad {
-    fn is_rush(self, now: Duration) -> bool {
+impl ScenarioLoad {
+    fn is_peak(self, now: Duration) -> bool {
         match self {
             Self::Steady => false,
-            Self::RushFrom(from) => now >= from,
-            Self::Spells(length) => (now.as_millis() / length.as_millis()) % 2 == 1,
+            Self::PeakFrom(from) => now >= from,
+            Self::Peaks(length) => (now.as_millis() / length.as_millis()) % 2 == 1,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RolloutPlay {
+pub struct RolloutScenario {
     pub kind: VersionKind,
     pub seed: u64,
-    /// Requests a second of the service.
+    /// Requests per second of the service.
     pub rate: f64,
     pub time: Duration,
-    /// Whether servers of both versions fail by themselves.
+    /// Whether some servers of both versions have grey failures.
     pub has_grey: bool,
     pub servers: usize,
-    pub load: PlayLoad,
+    pub load: ScenarioLoad,
 }
 
-impl RolloutPlay {
+impl RolloutScenario {
     pub fn new(kind: VersionKind, seed: u64) -> Self {
         Self {
             kind,
@@ -94,50 +94,50 @@
             time: Duration::from_secs(12),
             has_grey: false,
             servers: 30,
-            load: PlayLoad::Steady,
+            load: ScenarioLoad::Steady,
         }
     }
 }
 
-/// What happens to the VMs and the store on the way.
+/// Fault of the VMs or of the store during the rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum PlayFault {
+pub enum TestFault {
     None,
-    /// VMs that write records are killed each second, and start anew.
+    /// VMs that write records are killed every second, and restart.
     WritersKilled,
-    /// The store takes and tells nothing.
+    /// The store is unreachable for a time.
     StoreDown(Duration, Duration),
-    /// All VMs start anew at a moment.
+    /// All VMs restart at a moment.
     PowerLoss(Duration),
-    /// The second region neither hears the store nor writes.
+    /// The second region is partitioned from the store and the other region for a time.
     RegionCut(Duration, Duration),
-    /// The order is taken back.
+    /// The order is withdrawn at a moment.
     Withdrawn(Duration),
-    /// Servers of the new version never come.
+    /// Servers of the new version never start.
     NoServers,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct PlayResult {
+pub struct ScenarioResult {
     pub requests: usize,
     pub exposed: usize,
     pub state: Option<RolloutState>,
     pub ended: Option<Duration>,
-    /// Time of the fiftieth answer that was bad because of the version.
+    /// Time of the fiftieth response that was bad because of the version.
     pub fiftieth: Option<Duration>,
     /// Requests that went to the new version more than a second after that.
     pub late: usize,
-    /// Requests that went to the new version after the record had given it up, and was
-    /// known.
+    /// Requests that went to the new version after the VMs had received the record that
+    /// aborted it.
     pub after_end: usize,
-    /// Requests that went to old servers after the record had said that they stop.
+    /// Requests that went to old servers after the record was completed.
     pub to_stopped: usize,
-    /// Ends that were written; more than one is a contradiction.
+    /// Final states that were written; more than one is a contradiction.
     pub ends: Vec<RolloutState>,
 }
 
-impl PlayResult {
-    pub fn exposed_part(&self) -> f64 {
+impl ScenarioResult {
+    pub fn exposed_share(&self) -> f64 {
         self.exposed as f64 / self.requests.max(1) as f64
     }
 }
@@ -145,9 +145,9 @@
 struct Vm {
     table: RolloutTable,
     region: usize,
-    born: Duration,
-    /// Changes of the store that it has heard.
-    heard: usize,
+    started: Duration,
+    /// Number of store changes that the VM has applied.
+    applied: usize,
 }
 
 enum Change {
@@ -156,17 +156,17 @@
     Withdrawn,
 }
 
-pub struct RolloutWorld {
-    play: RolloutPlay,
-    fault: PlayFault,
+pub struct RolloutSimulation {
+    scenario: RolloutScenario,
+    fault: TestFault,
     rng: StdRng,
     vms: Vec<Vm>,
-    /// Changes with their revision and step.
+    /// Store changes with their revision and step.
     changes: Vec<(u64, usize, Change)>,
     step: usize,
     bad: usize,
-    result: PlayResult,
-    told: Vec<Vec<BTreeMap<u32, EvidenceCounts>>>,
+    result: ScenarioResult,
+    sent: Vec<Vec<BTreeMap<u32, EvidenceCounts>>>,
     grey: Vec<bool>,
     record: Option<(u64, RolloutRecord)>,
     marks: BTreeMap<RegionName, u64>,
@@ -191,13 +191,13 @@
     }
 }
 
-/// Which servers fail by themselves: as many of either version, since a version with more
-/// of them is worse.
-fn draw_grey(play: &RolloutPlay, rng: &mut StdRng) -> Vec<bool> {
-    let mut grey = vec![false; play.servers * 2 * REGIONS];
-    let count = play.servers * GREY_PERCENT / 100;
-    let count = if play.has_grey { count } else { 0 };
-    for side in grey.chunks_mut(play.servers) {
+/// Draws the servers with grey failures: the same number for both versions, since a version
+/// with more of them is worse.
+fn draw_grey(scenario: &RolloutScenario, rng: &mut StdRng) -> Vec<bool> {
+    let mut grey = vec![false; scenario.servers * 2 * REGIONS];
+    let count = scenario.servers * GREY_PERCENT / 100;
+    let count = if scenario.has_grey { count } else { 0 };
+    for side in grey.chunks_mut(scenario.servers) {
         for server in rand::seq::index::sample(rng, side.len(), count) {
             side[server] = true;
         }
@@ -205,29 +205,29 @@
     grey
 }
 
-impl RolloutWorld {
-    pub fn new(play: RolloutPlay, fault: PlayFault) -> Self {
-        let mut rng = StdRng::seed_from_u64(play.seed);
-        let grey = draw_grey(&play, &mut rng);
-        let mut world = Self {
-            play,
+impl RolloutSimulation {
+    pub fn new(scenario: RolloutScenario, fault: TestFault) -> Self {
+        let mut rng = StdRng::seed_from_u64(scenario.seed);
+        let grey = draw_grey(&scenario, &mut rng);
+        let mut simulation = Self {
+            scenario,
             fault,
             rng,
             vms: Vec::new(),
             changes: Vec::new(),
             step: 0,
             bad: 0,
-            result: PlayResult::default(),
-            told: Vec::new(),
+            result: ScenarioResult::default(),
+            sent: Vec::new(),
             grey,
             record: None,
             marks: BTreeMap::new(),
         };
         for number in 0..VMS {
-            let vm = world.start_vm(number % REGIONS);
-            world.vms.push(vm);
+            let vm = simulation.start_vm(number % REGIONS);
+            simulation.vms.push(vm);
         }
-        world
+        simulation
     }
 
     fn now(&self) -> Duration {
@@ -235,47 +235,47 @@
     }
 
     fn start_vm(&self, at: usize) -> Vm {
-        let born = self.now();
-        let mut table = RolloutTable::new(region(at), born);
+        let started = self.now();
+        let mut table = RolloutTable::new(region(at), started);
         let is_first = self.step == 0;
-        // A VM that was there before the order is not young.
+        // A VM that started before the order has a process age of 10 s.
         let seen = Moment::from_duration(if is_first {
             Duration::from_secs(10)
         } else {
             Duration::ZERO
         });
-        if !matches!(self.fault, PlayFault::Withdrawn(at) if self.now() >= at) {
-            table.take_order(seen, ORDER, order(self.play.time));
+        if !matches!(self.fault, TestFault::Withdrawn(at) if self.now() >= at) {
+            table.take_order(seen, ORDER, order(self.scenario.time));
         }
         let routes: Vec<RouteName> = ROUTES.iter().map(|route| route.parse().unwrap()).collect();
         table.set_routes(&service(), &routes, Duration::from_secs(3));
         Vm {
             table,
             region: at,
-            born: if is_first { Duration::ZERO } else { born },
-            heard: 0,
+            started: if is_first { Duration::ZERO } else { started },
+            applied: 0,
         }
     }
 
     fn moment(&self, vm: usize) -> Moment {
         let vm = &self.vms[vm];
-        let lead = if vm.born.is_zero() {
+        let lead = if vm.started.is_zero() {
             Duration::from_secs(10)
         } else {
             Duration::ZERO
         };
-        Moment::from_duration(self.now().saturating_sub(vm.born) + lead)
+        Moment::from_duration(self.now().saturating_sub(vm.started) + lead)
     }
 
-    /// Plays a quarter longer than the order's time.
-    pub fn run(mut self) -> PlayResult {
-        while self.now() < self.play.time.mul_f64(1.25) {
-            self.break_things();
+    /// Runs for a quarter longer than the order's time.
+    pub fn run(mut self) -> ScenarioResult {
+        while self.now() < self.scenario.time.mul_f64(1.25) {
+            self.inject_fault();
             for vm in 0..VMS {
-                self.hear(vm);
+                self.receive(vm);
                 self.serve(vm);
             }
-            self.tell();
+            self.exchange_counts();
             for vm in 0..VMS {
                 let now = self.moment(vm);
                 self.vms[vm].table.judge(now);
@@ -287,21 +287,21 @@
         self.result
     }
 
-    fn break_things(&mut self) {
+    fn inject_fault(&mut self) {
         let now = self.now();
         match self.fault {
-            PlayFault::WritersKilled if self.step.is_multiple_of(20) && self.step > 0 => {
+            TestFault::WritersKilled if self.step.is_multiple_of(20) && self.step > 0 => {
                 for number in 0..REGIONS {
                     self.vms[number] = self.start_vm(number % REGIONS);
                 }
             }
-            PlayFault::PowerLoss(at) if now >= at && now < at + STEP => {
+            TestFault::PowerLoss(at) if now >= at && now < at + STEP => {
                 for number in 0..VMS {
                     self.vms[number] = self.start_vm(number % REGIONS);
                 }
-                self.told.clear();
+                self.sent.clear();
             }
-            PlayFault::Withdrawn(at) if now >= at && now < at + STEP => {
+            TestFault::Withdrawn(at) if now >= at && now < at + STEP => {
                 self.changes.push((0, self.step, Change::Withdrawn));
             }
             _ => {}
@@ -311,19 +311,19 @@
     fn is_cut(&self, vm: usize) -> bool {
         let now = self.now();
         match self.fault {
-            PlayFault::StoreDown(from, to) => (from..to).contains(&now),
-            PlayFault::RegionCut(from, to) => self.vms[vm].region == 1 && (from..to).contains(&now),
+            TestFault::StoreDown(from, to) => (from..to).contains(&now),
+            TestFault::RegionCut(from, to) => self.vms[vm].region == 1 && (from..to).contains(&now),
             _ => false,
         }
     }
 
-    fn hear(&mut self, vm: usize) {
+    fn receive(&mut self, vm: usize) {
         if self.is_cut(vm) {
             return;
         }
         let now = self.moment(vm);
         let ready = self.step.saturating_sub(WATCH_STEPS);
-        while let Some((revision, step, change)) = self.changes.get(self.vms[vm].heard) {
+        while let Some((revision, step, change)) = self.changes.get(self.vms[vm].applied) {
             if *step > ready && self.step >= WATCH_STEPS {
                 break;
             }
@@ -337,12 +337,12 @@
                 }
                 Change::Withdrawn => table.withdraw(&service()),
             }
-            self.vms[vm].heard += 1;
+            self.vms[vm].applied += 1;
         }
     }
 
     fn serve(&mut self, vm: usize) {
-        let mean = self.play.rate * STEP.as_secs_f64() / VMS as f64;
+        let mean = self.scenario.rate * STEP.as_secs_f64() / VMS as f64;
         let mut left = mean;
         while left > 0.0 {
             if left >= 1.0 || self.rng.random_bool(left) {
@@ -365,7 +365,7 @@
         };
         let side = other.unwrap_or(usual);
         if side == VersionSide::New && usual == VersionSide::Old {
-            if self.fault == PlayFault::NoServers {
+            if self.fault == TestFault::NoServers {
                 return;
             }
             self.vms[vm].table.claim_canary(&service());
@@ -387,48 +387,49 @@
         if side == VersionSide::Old && state == Some(RolloutState::Completed) {
             self.result.to_stopped += 1;
         }
-        let is_most =
+        let has_most =
             matches!(phase, Some(RolloutPhase::Shifting { new_part, .. }) if new_part > 0.4);
-        self.answer(vm, side, usual == VersionSide::Old, is_most);
+        self.respond(vm, side, usual == VersionSide::Old, has_most);
     }
 
-    fn answer(&mut self, vm: usize, side: VersionSide, is_sample: bool, is_most: bool) {
+    fn respond(&mut self, vm: usize, side: VersionSide, is_canary: bool, has_most: bool) {
         let route = self.rng.random_range(0..ROUTES.len());
         let region = self.vms[vm].region;
-        let among = if side == VersionSide::New && is_sample {
-            6.max(self.play.servers.div_ceil(20)).min(self.play.servers)
+        let among = if side == VersionSide::New && is_canary {
+            6.max(self.scenario.servers.div_ceil(20))
+                .min(self.scenario.servers)
         } else {
-            self.play.servers
+            self.scenario.servers
         };
         let number = self.rng.random_range(0..among);
         let is_new = usize::from(side == VersionSide::New);
-        let server = (region * 2 + is_new) * self.play.servers + number;
-        let mut failures = USUAL_FAILURES[route];
+        let server = (region * 2 + is_new) * self.scenario.servers + number;
+        let mut failures = BASELINE_FAILURES[route];
         if self.grey[server] {
             failures += GREY_FAILURES;
         }
         let spread: f64 = (0..4).map(|_| self.rng.random::<f64>()).sum::<f64>() / 2.0 - 1.0;
         let mut ratio = (1.0 + spread * SPREAD).max(0.3);
         let mut is_bad = false;
-        if self.play.load.is_rush(self.now()) && self.rng.random_bool(RUSH_PART) {
-            ratio *= RUSH_TIMES;
+        if self.scenario.load.is_peak(self.now()) && self.rng.random_bool(PEAK_SHARE) {
+            ratio *= PEAK_FACTOR;
         }
         if side == VersionSide::New {
-            let draw = |part: f64, rng: &mut StdRng| rng.random_bool(part);
+            let draw = |share: f64, rng: &mut StdRng| rng.random_bool(share);
             let now = self.now();
             let rng = &mut self.rng;
-            let fails = match self.play.kind {
+            let fails = match self.scenario.kind {
                 VersionKind::Good | VersionKind::Slows(..) => false,
-                VersionKind::Fails(part) => draw(part, rng),
-                VersionKind::FailsOnRoute(part) => route == 2 && draw(part, rng),
-                VersionKind::FailsLate(part, from) => now >= from && draw(part, rng),
-                VersionKind::FailsUnderLoad(part) => is_most && draw(part, rng),
-                VersionKind::FailsInRegion(part) => region == 0 && draw(part, rng),
+                VersionKind::Fails(share) => draw(share, rng),
+                VersionKind::FailsOnRoute(share) => route == 2 && draw(share, rng),
+                VersionKind::FailsLate(share, from) => now >= from && draw(share, rng),
+                VersionKind::FailsUnderLoad(share) => has_most && draw(share, rng),
+                VersionKind::FailsInRegion(share) => region == 0 && draw(share, rng),
             };
-            if let VersionKind::Slows(part, times) = self.play.kind
-                && draw(part, rng)
+            if let VersionKind::Slows(share, factor) = self.scenario.kind
+                && draw(share, rng)
             {
-                ratio *= times;
+                ratio *= factor;
                 is_bad = true;
             }
             if fails {
@@ -445,34 +446,34 @@
         let outcome = if self.rng.random_bool(failures.min(1.0)) {
             ResponseOutcome::Failed
         } else {
-            // Servers that have just started are slow, and say nothing.
+            // The times of servers that have just started are not used: they are slow.
             let is_warm = side == VersionSide::Old || self.now() >= Duration::from_secs(3);
             ResponseOutcome::Succeeded {
                 ratio: is_warm.then_some(ratio),
             }
         };
-        let life = server as u64 * 0x9e37_79b9 + 11;
+        let instance = server as u64 * 0x9e37_79b9 + 11;
         let table = &mut self.vms[vm].table;
-        table.note(&service(), ROUTES[route], side, life, outcome);
+        table.note(&service(), ROUTES[route], side, instance, outcome);
     }
 
-    /// Tells the counts within each region.
-    fn tell(&mut self) {
+    /// Sends the counts within each region.
+    fn exchange_counts(&mut self) {
         let own: Vec<BTreeMap<u32, EvidenceCounts>> = self
             .vms
             .iter()
             .map(|vm| vm.table.own_evidence().map(|(t, c)| (t.0, c)).collect())
             .collect();
-        self.told.push(own);
-        if self.told.len() < TELL_STEPS {
+        self.sent.push(own);
+        if self.sent.len() < EXCHANGE_STEPS {
             return;
         }
-        let told = self.told.remove(0);
+        let received = self.sent.remove(0);
         for to in 0..VMS {
             let mut sums: BTreeMap<u32, EvidenceCounts> = BTreeMap::new();
             for from in (0..VMS).filter(|from| *from != to) {
                 if self.vms[from].region == self.vms[to].region {
-                    for (tag, counts) in &told[from] {
+                    for (tag, counts) in &received[from] {
                         let sum = sums.entry(*tag).or_default();
                         *sum = sum.plus(*counts);
                     }
@@ -482,11 +483,11 @@
                 self.vms[to].table.set_regional(EvidenceTag(tag), counts);
             }
         }
-        self.tell_regions();
+        self.exchange_regions();
     }
 
-    /// Tells the counts of each region to the others, by its first VM.
-    fn tell_regions(&mut self) {
+    /// Sends the counts of each region to the others, from its first VM.
+    fn exchange_regions(&mut self) {
         for from in 0..REGIONS {
             let counts: Vec<_> = self.vms[from].table.region_evidence().collect();
             for to in 0..VMS {
@@ -501,13 +502,13 @@
     }
 
     fn write(&mut self) {
-        let new = if self.fault == PlayFault::NoServers {
+        let new = if self.fault == TestFault::NoServers {
             0
         } else {
-            self.play.servers
+            self.scenario.servers
         };
         let counts = ServerCounts {
-            old: self.play.servers,
+            old: self.scenario.servers,
             new,
         };
         let servers: BTreeMap<_, _> = (0..REGIONS).map(|n| (region(n), counts)).collect();
@@ -523,12 +524,12 @@
             };
             let table = &mut self.vms[vm].table;
             for write in table.due_writes(now, writer, |_, _| servers.clone()) {
-                self.take_write(write);
+                self.apply_write(write);
             }
         }
     }
 
-    fn take_write(&mut self, write: RolloutWrite) {
+    fn apply_write(&mut self, write: RolloutWrite) {
         let revision = 100 + self.changes.len() as u64;
         match write {
             RolloutWrite::Record {
@@ -562,6 +563,6 @@
     }
 }
 
-pub fn play(play: RolloutPlay, fault: PlayFault) -> PlayResult {
-    RolloutWorld::new(play, fault).run()
+pub fn simulate(scenario: RolloutScenario, fault: TestFault) -> ScenarioResult {
+    RolloutSimulation::new(scenario, fault).run()
 }
--- a/crates/rollout/tests/ways.rs
+++ b/crates/rollout/tests/ways.rs
@@ -1,48 +1,48 @@
-//! Two ways of judging a version, side by side: the likelihood ratio that may be looked at
-//! at every moment, and a comparison of fixed windows.
+//! Comparison of two methods of judging a version: the likelihood ratio, which may be
+//! evaluated at every moment, and a comparison over fixed windows.
 
 use onyxfall_rollout::{EvidenceCounts, ResponseOutcome, RolloutEvidence, VersionSide, judge};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 const ROUTE: &str = "r";
-/// Looks a second, and seconds of a play.
-const LOOKS: usize = 5;
+/// Evaluations per second, and duration of a run in seconds.
+const EVALUATIONS: usize = 5;
 const SECONDS: usize = 12;
-/// Part of the requests that goes to the new version, and servers that take it.
-const SAMPLE: f64 = 0.05;
+/// Share of the requests that goes to the new version, and number of its servers.
+const CANARY_SHARE: f64 = 0.05;
 const SERVERS: u64 = 6;
-/// Looks of a window, and standard deviations from which its comparison is a verdict.
-const WINDOW: usize = 2 * LOOKS;
+/// Evaluations per window, and standard deviations from which a window gives a verdict.
+const WINDOW: usize = 2 * EVALUATIONS;
 const DEVIATIONS: f64 = 4.0;
 
-struct WayCase {
+struct MethodCase {
     name: &'static str,
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
-    /// Failures of either version, and more of the new one.
-    usual: f64,
-    more: f64,
-    plays: u64,
+    /// Share of failures of both versions, and additional share of the new one.
+    baseline: f64,
+    extra: f64,
+    runs: u64,
 }
 
-/// What a way has brought over the plays of a case.
+/// Results of a method over the runs of a case.
 #[derive(Debug, Default)]
-struct WayResult {
+struct MethodResult {
     verdicts: usize,
-    looks: usize,
+    evaluations: usize,
 }
 
-impl WayResult {
-    fn note(&mut self, look: Option<usize>) {
-        if let Some(look) = look {
+impl MethodResult {
+    fn record(&mut self, evaluation: Option<usize>) {
+        if let Some(evaluation) = evaluation {
             self.verdicts += 1;
-            self.looks += look;
+            self.evaluations += evaluation;
         }
     }
 
     fn mean_seconds(&self) -> f64 {
-        self.looks as f64 / self.verdicts.max(1) as f64 / LOOKS as f64
+        self.evaluations as f64 / self.verdicts.max(1) as f64 / EVALUATIONS as f64
     }
 }
 
@@ -51,24 +51,24 @@
     (old, new)
 }
 
-/// Whether the failures of a window are too many by the part of the old version's.
+/// Whether a window has too many failures compared with the old version's share.
 fn window_is_bad(old: EvidenceCounts, new: EvidenceCounts) -> bool {
-    let part = |counts: EvidenceCounts| counts.failures as f64 / counts.answers.max(1) as f64;
+    let share = |counts: EvidenceCounts| counts.failures as f64 / counts.answers.max(1) as f64;
     let all = new.answers as f64;
-    let usual = part(old);
-    let deviation = (usual.max(0.005) * (1.0 - usual) / all.max(1.0)).sqrt();
-    all >= 10.0 && part(new) > usual + DEVIATIONS * deviation
+    let baseline = share(old);
+    let deviation = (baseline.max(0.005) * (1.0 - baseline) / all.max(1.0)).sqrt();
+    all >= 10.0 && share(new) > baseline + DEVIATIONS * deviation
 }
 
-/// The looks at which each way gives the version up.
-fn play(case: &WayCase, seed: u64) -> (Option<usize>, Option<usize>) {
+/// The evaluations at which each method aborts the version.
+fn simulate(case: &MethodCase, seed: u64) -> (Option<usize>, Option<usize>) {
     let rng = &mut StdRng::seed_from_u64(seed);
     let mut evidence = RolloutEvidence::new("svc");
     evidence.add_route(&ROUTE.parse().unwrap());
     let (mut ratio, mut windows) = (None, None);
-    let mut begun = totals(&evidence);
-    for look in 1..=SECONDS * LOOKS {
-        let mut left = case.rate / LOOKS as f64;
+    let mut start = totals(&evidence);
+    for evaluation in 1..=SECONDS * EVALUATIONS {
+        let mut left = case.rate / EVALUATIONS as f64;
         while left > 0.0 {
             if left >= 1.0 || rng.random_bool(left) {
                 request(case, &mut evidence, rng);
@@ -76,77 +76,93 @@
             left -= 1.0;
         }
         if judge(&evidence).bad().is_some() {
-            ratio.get_or_insert(look);
+            ratio.get_or_insert(evaluation);
         }
-        if look.is_multiple_of(WINDOW) {
+        if evaluation.is_multiple_of(WINDOW) {
             let now = totals(&evidence);
-            if window_is_bad(now.0.since(begun.0), now.1.since(begun.1)) {
-                windows.get_or_insert(look);
+            if window_is_bad(now.0.since(start.0), now.1.since(start.1)) {
+                windows.get_or_insert(evaluation);
             }
-            begun = now;
+            start = now;
         }
     }
     (ratio, windows)
 }
 
-fn request(case: &WayCase, evidence: &mut RolloutEvidence, rng: &mut StdRng) {
-    let is_new = rng.random_bool(SAMPLE);
-    let (side, part) = if is_new {
-        (VersionSide::New, case.usual + case.more)
+fn request(case: &MethodCase, evidence: &mut RolloutEvidence, rng: &mut StdRng) {
+    let is_new = rng.random_bool(CANARY_SHARE);
+    let (side, failures) = if is_new {
+        (VersionSide::New, case.baseline + case.extra)
     } else {
-        (VersionSide::Old, case.usual)
+        (VersionSide::Old, case.baseline)
     };
-    let outcome = if rng.random_bool(part) {
+    let outcome = if rng.random_bool(failures) {
         ResponseOutcome::Failed
     } else {
         ResponseOutcome::Succeeded { ratio: None }
     };
-    evidence.note(ROUTE, side, rng.random_range(0..SERVERS), outcome);
+    evidence.record(ROUTE, side, rng.random_range(0..SERVERS), outcome);
 }
 
 #[test]
-fn the_ratio_gives_up_bad_versions_and_no_good_one() {
-    let case = |name, rate, usual, more, plays| WayCase {
+fn the_ratio_aborts_bad_versions_and_no_good_one() {
+    let case = |name, rate, baseline, extra, runs| MethodCase {
         name,
         rate,
-        usual,
-        more,
-        plays,
+        baseline,
+        extra,
+        runs,
     };
     let cases = [
-        case("good, 300 a second", 300.0, 0.01, 0.0, 300),
+        case("good, 300 per second", 300.0, 0.01, 0.0, 300),
         case("good, 14 in 100 fail", 300.0, 0.14, 0.0, 300),
-        case("good, 30 a second", 30.0, 0.01, 0.0, 400),
-        case("60 in 100 more", 300.0, 0.01, 0.6, 50),
-        case("60 in 100 more, 30 a second", 30.0, 0.01, 0.6, 50),
-        case("20 in 100 more", 300.0, 0.01, 0.2, 50),
-        case("10 in 100 more", 300.0, 0.01, 0.1, 50),
-        case("10 in 100 more, 2000 a second", 2000.0, 0.01, 0.1, 20),
-        case("3 in 100 more, 2000 a second", 2000.0, 0.01, 0.03, 20),
+        case("good, 30 per second", 30.0, 0.01, 0.0, 400),
+        case("60 in 100 more fail", 300.0, 0.01, 0.6, 50),
+        case("60 in 100 more fail, 30 per second", 30.0, 0.01, 0.6, 50),
+        case("20 in 100 more fail", 300.0, 0.01, 0.2, 50),
+        case("10 in 100 more fail", 300.0, 0.01, 0.1, 50),
+        case(
+            "10 in 100 more fail, 2000 per second",
+            2000.0,
+            0.01,
+            0.1,
+            20,
+        ),
+        case(
+            "3 in 100 more fail, 2000 per second",
+            2000.0,
+            0.01,
+            0.03,
+            20,
+        ),
     ];
-    println!("| version | plays | ratio: given up, after | windows: given up, after |");
+    println!("| version | runs | ratio: aborted, after | windows: aborted, after |");
     for case in &cases {
-        let (mut ratio, mut windows) = (WayResult::default(), WayResult::default());
-        for seed in 1..=case.plays {
-            let (by_ratio, by_windows) = play(case, seed);
-            ratio.note(by_ratio);
-            windows.note(by_windows);
+        let (mut ratio, mut windows) = (MethodResult::default(), MethodResult::default());
+        for seed in 1..=case.runs {
+            let (by_ratio, by_windows) = simulate(case, seed);
+            ratio.record(by_ratio);
+            windows.record(by_windows);
         }
         println!(
             "| {} | {} | {}, {:.1} s | {}, {:.1} s |",
             case.name,
-            case.plays,
+            case.runs,
             ratio.verdicts,
             ratio.mean_seconds(),
             windows.verdicts,
             windows.mean_seconds()
         );
-        if case.more == 0.0 {
-            assert_eq!(ratio.verdicts, 0, "{}: good ones given up", case.name);
+        if case.extra == 0.0 {
+            assert_eq!(ratio.verdicts, 0, "{}: good versions aborted", case.name);
         }
-        if case.more >= 0.2 && case.rate >= 300.0 {
-            let all = usize::try_from(case.plays).unwrap();
-            assert_eq!(ratio.verdicts, all, "{}: bad ones kept", case.name);
+        if case.extra >= 0.2 && case.rate >= 300.0 {
+            let all = usize::try_from(case.runs).unwrap();
+            assert_eq!(
+                ratio.verdicts, all,
+                "{}: bad versions not aborted",
+                case.name
+            );
         }
     }
 }
--- a/crates/suspects/src/fingerprint.rs
+++ b/crates/suspects/src/fingerprint.rs
@@ -1,11 +1,11 @@
-//! What makes two requests the same one, sent again.
+//! Fingerprints that identify retries of the same request.
 //!
-//! Callers give each attempt a new id, so that repeats are told by what they ask for and
-//! by the team whose key they carry: no team can bring another one's request under
-//! suspicion. The address that a request comes from does not count, since phones change
-//! theirs and callers behind one gateway share it: while it counted, 26 servers crashed
-//! under one caller's request. The digest is cryptographic: nobody can make up a
-//! request that is taken for another, and it may be logged and sent to other VMs.
+//! Callers give each attempt a new id, so that retries are identified by their content and
+//! by the team whose key they carry: no team can cause the request of another one to be
+//! suspected. The source address is not included, since phones change theirs and callers
+//! behind one gateway share it: with the address included, one caller's request crashed
+//! 26 servers. The digest is cryptographic: nobody can craft a request that has the
+//! fingerprint of another one, and the digest may be logged and sent to other VMs.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,20 +14,20 @@
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 
-/// Keeps these digests apart from any other use of the same hash.
+/// Domain separation from any other use of the same hash.
 const DIGEST_LABEL: &[u8] = b"onyxfall request\0";
-/// Bytes of a fingerprint: half of the hash, which leaves 2^64 tries for a collision.
+/// Length of a fingerprint: half of the hash, so that a collision takes about 2^64 tries.
 const FINGERPRINT_BYTES: usize = 16;
-/// What a fingerprint is made of.
+/// Parts of a request that its fingerprint covers.
 #[derive(Clone, Copy, Debug)]
 pub struct FingerprintParts<'a> {
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host that the caller named.
+    /// Host named by the caller.
     pub host: &'a [u8],
     /// Path and query.
     pub target: &'a str,
-    /// Team whose key it carries, if any.
+    /// Team whose key the request carries, if any.
     pub team: Option<&'a TeamName>,
     /// Body.
     pub body: &'a [u8],
@@ -52,14 +52,14 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestFingerprint([u8; FINGERPRINT_BYTES]);
 
-/// A text or bytes that are no fingerprint.
+/// The text or the bytes are not a fingerprint.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("not a fingerprint: expected {FINGERPRINT_BYTES} bytes, as text in hex")]
+#[error("not a fingerprint: expected {FINGERPRINT_BYTES} bytes, or their hexadecimal text")]
 pub struct FingerprintError;
 
 impl RequestFingerprint {
-    /// The fingerprint of a request. The length of each part counts, so that no two
-    /// requests share one by moving bytes from one part to the next.
+    /// The fingerprint of a request. The hash covers the length of each part, so that
+    /// moving bytes from one part to the next changes the fingerprint.
     pub fn of(parts: &FingerprintParts<'_>) -> Self {
         let team = parts.team.map_or("", TeamName::as_str);
         let mut hasher = Sha256::new_with_prefix(DIGEST_LABEL);
@@ -80,7 +80,7 @@
         Self(bytes)
     }
 
-    /// Its bytes, for messages.
+    /// The bytes of the fingerprint, as carried in messages.
     pub const fn as_bytes(&self) -> &[u8; FINGERPRINT_BYTES] {
         &self.0
     }
--- a/crates/suspects/src/holder.rs
+++ b/crates/suspects/src/holder.rs
@@ -1,12 +1,12 @@
-//! The one VM that may run a suspected request.
+//! Choice of the one VM that may run a suspected request.
 
 use onyxfall_types::VmName;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use crate::fingerprint::RequestFingerprint;
 
-/// The VM of `vms` that may run a request, by rendezvous hashing: VMs that see the same
-/// ones choose the same, and where they are cut off each side has one.
+/// The VM of `vms` that may run a request, by rendezvous hashing: VMs with the same list
+/// choose the same holder, and each side of a network partition has one.
 ///
 /// ```
 /// use onyxfall_suspects::{FingerprintParts, RequestFingerprint, holder_of};
--- a/crates/suspects/src/life.rs
+++ b/crates/suspects/src/instance.rs
@@ -1,4 +1,4 @@
-//! Short names of servers' lives.
+//! Short tags of server instances.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,34 +6,34 @@
 use onyxfall_types::stable_hash;
 use thiserror::Error;
 
-/// Short name of one life of a server, the same on every VM.
+/// Short tag of one instance of a server, the same on every VM.
 ///
 /// ```
 /// use onyxfall_suspects::InstanceTag;
-/// let life = InstanceTag::of("server-1");
-/// assert_eq!(life.to_string().parse(), Ok(life));
-/// assert_ne!(life, InstanceTag::of("server-2"));
+/// let instance = InstanceTag::of("server-1");
+/// assert_eq!(instance.to_string().parse(), Ok(instance));
+/// assert_ne!(instance, InstanceTag::of("server-2"));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstanceTag(u64);
 
-/// A text that is no tag of a life.
+/// The text is not an instance tag.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("`{0}` is not a life's tag: expected life and a number in hex")]
+#[error("`{0}` is not an instance tag: expected `life` followed by a hexadecimal number")]
 pub struct InstanceTagError(String);
 
 impl InstanceTag {
-    /// The tag of the life called `name`.
+    /// The tag of the instance called `name`.
     pub fn of(name: &str) -> Self {
         Self(stable_hash(&[name]))
     }
 
-    /// The tag with this number, as messages carry it.
+    /// The tag with this number, as carried in messages.
     pub const fn from_number(number: u64) -> Self {
         Self(number)
     }
 
-    /// Its number, for messages.
+    /// The number of the tag, as carried in messages.
     pub const fn number(self) -> u64 {
         self.0
     }
--- a/crates/suspects/src/lib.rs
+++ b/crates/suspects/src/lib.rs
@@ -1,26 +1,26 @@
-//! Which requests crash the servers that run them, and what may still be done with them.
+//! Detection and quarantine of requests that crash the servers that run them.
 //!
-//! A server that crashes takes all its runs with it, and one of them may have done it.
-//! Every VM notes which requests were on a server that broke off, and tells the others.
-//! What has been on several of them is run alone, then refused for a time
-//! ([`SuspectTable::judge`]). Callers repeat a request under new ids, to any VM; a
-//! [`RequestFingerprint`] tells that it is the same one.
+//! A server that crashes loses all its runs, and one of them may be the cause. Every VM
+//! records which requests were running on a server whose connection was lost, and sends
+//! this to the other VMs. A request that was running on several such servers is run alone,
+//! then refused for a time ([`SuspectTable::judge`]). Callers retry a request under new
+//! ids, on any VM; its [`RequestFingerprint`] identifies the retries.
 //!
-//! Pure code: no I/O, no clock. Invariants: what is known only grows and is merged as a
-//! set, so that order, repeats and two ways of the same news do no harm; the tables are
-//! bounded, and what has been on few servers is dropped first.
+//! Pure code: no I/O, no clock. Invariants: state only grows and merges like a set, so
+//! that reordered, repeated or multiply routed updates have no effect; the tables are
+//! bounded, and requests that were lost with few servers are evicted first.
 
 mod fingerprint;
 mod holder;
-mod life;
-mod news;
+mod instance;
 mod record;
 mod table;
+mod update;
 mod verdict;
 
 pub use fingerprint::{FingerprintError, FingerprintParts, RequestFingerprint};
 pub use holder::holder_of;
-pub use life::{InstanceTag, InstanceTagError};
-pub use news::{CrashUpdate, InstanceUpdate, RequestUpdate, SuspectCursor, SuspectUpdate};
+pub use instance::{InstanceTag, InstanceTagError};
 pub use table::{QUARANTINE, SuspectTable};
+pub use update::{CrashUpdate, InstanceUpdate, RequestUpdate, SuspectCursor, SuspectUpdate};
 pub use verdict::SuspectVerdict;
--- a/crates/suspects/src/record.rs
+++ b/crates/suspects/src/record.rs
@@ -1,38 +1,38 @@
-//! What is known of one request, and of one life of a server.
+//! Records of one request and of one server instance.
 //!
-//! What speaks against them and what clears them is ordered by counters and not by times:
-//! a time that is told by several ways is a little later by each, so that the word of an
-//! old crash would pass for one after the sign of life that cleared it, and go round for
-//! ever. On a day with broken connections such news between 68 VMs cost a tenth of the
-//! day's worth in bytes between regions.
+//! Crashes and the events that clear them are ordered by counters and not by times. A time
+//! that is sent as an age over several hops becomes a little later with each hop: an old
+//! crash would seem to follow the liveness signal that cleared it, and the update would
+//! circulate forever. On a day with broken connections such updates between 68 VMs cost a
+//! tenth of the day's value in inter-region traffic.
 
 use std::collections::BTreeMap;
 
 use onyxfall_policy::Moment;
 
-use crate::life::InstanceTag;
+use crate::instance::InstanceTag;
 
-/// Crashes that are kept of one request; more change no verdict.
-const MOST_CRASHES: usize = 8;
+/// Maximum number of crashes kept per request; further ones change no verdict.
+const MAX_CRASHES: usize = 8;
 
-/// A life of a server that broke off.
+/// Record of a server instance whose connection was lost.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct InstanceRecord {
-    /// How often it gave a sign of life after it had broken off.
+    /// Number of times a liveness signal of the instance followed a loss.
     pub(crate) survivals: u32,
-    /// When it broke off since the last of these, if it did.
+    /// First loss after the last survival, if there was one.
     pub(crate) lost: Option<Moment>,
-    /// When news of it last came; it is forgotten by that, and one that is only known to
-    /// have survived has no other moment.
-    pub(crate) noted: Moment,
-    /// Number of the last change.
+    /// When the record last changed. Expiry goes by this time, since a record that has only
+    /// survivals has no other time.
+    pub(crate) updated: Moment,
+    /// Number of the record's last change.
     pub(crate) changed: u64,
 }
 
 impl InstanceRecord {
-    /// Notes that it broke off, or not, after it had survived so often; whether that is
-    /// news.
-    pub(crate) fn note(&mut self, survivals: u32, lost: Option<Moment>) -> bool {
+    /// Records that the instance was lost, or not, after so many survivals; returns whether
+    /// that changed the record.
+    pub(crate) fn record_loss(&mut self, survivals: u32, lost: Option<Moment>) -> bool {
         if survivals < self.survivals {
             return false;
         }
@@ -47,77 +47,82 @@
         is_later || is_earlier
     }
 
-    /// Notes a sign of life at `at`; whether that is news: bytes that had arrived before
-    /// it broke off are still read for a while.
+    /// Records a liveness signal at `at`; returns whether that changed the record. Signals
+    /// shortly after the loss do not count, since bytes received before the loss are still
+    /// read for a while.
     pub(crate) fn record_liveness(&mut self, at: Moment) -> bool {
-        let is_news = self
+        let is_new = self
             .lost
-            .is_some_and(|lost| at > lost + crate::table::SETTLE);
-        if is_news {
+            .is_some_and(|lost| at > lost + crate::table::LIVENESS_DELAY);
+        if is_new {
             self.survivals += 1;
             self.lost = None;
         }
-        is_news
+        is_new
     }
 }
 
-/// A life that broke off under a request.
+/// The loss of a server instance that was running a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CrashRecord {
-    /// When.
+    /// Time of the loss.
     pub(crate) at: Moment,
-    /// How often the life had survived before.
+    /// Survivals of the instance before this loss.
     pub(crate) survivals: u32,
 }
 
-/// A request that was on servers that broke off.
+/// Record of a request that was running on servers that were lost.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SuspectRecord {
-    /// How often it ran to a good end after servers had broken off under it.
+    /// Number of times the request succeeded after losses of servers that were running
+    /// it.
     pub(crate) good_runs: u32,
-    /// The lives that broke off under it since.
+    /// Instances lost while running the request, since its last success.
     crashes: BTreeMap<InstanceTag, CrashRecord>,
-    /// When one last did.
+    /// Time of the latest of these losses.
     newest: Moment,
-    /// Number of the last change.
+    /// Number of the record's last change.
     pub(crate) changed: u64,
 }
 
 impl SuspectRecord {
-    /// The lives that broke off under it since its last good run.
+    /// Instances lost while running the request, since its last success.
     pub(crate) fn crashes(&self) -> impl Iterator<Item = (InstanceTag, CrashRecord)> {
-        self.crashes.iter().map(|(life, crash)| (*life, *crash))
+        self.crashes
+            .iter()
+            .map(|(instance, crash)| (*instance, *crash))
     }
 
-    /// Number of these.
+    /// Number of these instances.
     pub(crate) fn len(&self) -> usize {
         self.crashes.len()
     }
 
-    /// Whether it was on a life when that broke off.
-    pub(crate) fn was_on(&self, life: InstanceTag) -> bool {
-        self.crashes.contains_key(&life)
+    /// Whether the request was running on an instance when that was lost.
+    pub(crate) fn was_on(&self, instance: InstanceTag) -> bool {
+        self.crashes.contains_key(&instance)
     }
 
-    /// When a server last broke off under it.
+    /// When a server was last lost while running the request.
     pub(crate) fn newest(&self) -> Moment {
         self.newest
     }
 
-    /// Takes a number of good runs; those that are told with more of them than are known
-    /// here clear what is known. Whether that is news.
-    pub(crate) fn note_good_runs(&mut self, good_runs: u32) -> bool {
-        let is_news = good_runs > self.good_runs;
-        if is_news {
+    /// Applies a number of good runs: a number larger than the recorded one clears the
+    /// recorded crashes. Returns whether that changed the record.
+    pub(crate) fn record_good_runs(&mut self, good_runs: u32) -> bool {
+        let is_new = good_runs > self.good_runs;
+        if is_new {
             self.good_runs = good_runs;
             self.crashes.clear();
         }
-        is_news
+        is_new
     }
 
-    /// Notes that it was on a life that broke off; whether that is news.
-    pub(crate) fn record_crash(&mut self, life: InstanceTag, crash: CrashRecord) -> bool {
-        if let Some(known) = self.crashes.get_mut(&life) {
+    /// Records that the request was running on an instance that was lost; returns whether
+    /// that changed the record.
+    pub(crate) fn record_crash(&mut self, instance: InstanceTag, crash: CrashRecord) -> bool {
+        if let Some(known) = self.crashes.get_mut(&instance) {
             let is_later = crash.survivals > known.survivals;
             let is_earlier = crash.survivals == known.survivals && crash.at < known.at;
             if is_later || is_earlier {
@@ -125,11 +130,11 @@
             }
             return is_later || is_earlier;
         }
-        if self.crashes.len() >= MOST_CRASHES {
+        if self.crashes.len() >= MAX_CRASHES {
             return false;
         }
         self.newest = self.newest.max(crash.at);
-        self.crashes.insert(life, crash);
+        self.crashes.insert(instance, crash);
         true
     }
 }
--- a/crates/suspects/src/table.rs
+++ b/crates/suspects/src/table.rs
@@ -1,4 +1,4 @@
-//! The requests that were on servers that broke off, and what follows from it.
+//! Table of requests that were running on lost servers, and the verdicts on them.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,75 +6,78 @@
 use onyxfall_policy::Moment;
 
 use crate::fingerprint::RequestFingerprint;
-use crate::life::InstanceTag;
-use crate::news::{CrashUpdate, InstanceUpdate, RequestUpdate, SuspectCursor, SuspectUpdate};
+use crate::instance::InstanceTag;
 use crate::record::{CrashRecord, InstanceRecord, SuspectRecord};
+use crate::update::{CrashUpdate, InstanceUpdate, RequestUpdate, SuspectCursor, SuspectUpdate};
 use crate::verdict::SuspectVerdict;
 
-/// Weight of a crash that is the request's alone. A crash with others near it, of
-/// servers that did not run the request, weighs half: racks and domains fail together,
-/// and a request is sent on from one of their servers to the next.
+/// Weights of a crash. A crash near crashes of servers that did not run the request has
+/// half the weight: racks and failure domains fail together, and
+/// a request is retried from one of their servers on the next.
 const FULL_WEIGHT: u32 = 2;
 const SHARED_WEIGHT: u32 = 1;
-/// Time around a crash in which others count as near: servers of a rack broke off
-/// within 1 s, and silent ones are noticed up to 1 s later. A request that was on two of
-/// them does not run before it is over: sent on at once, 257 of 483,000 proper requests
-/// were refused in 2,500 crashes of racks that failed each four seconds, and 57 when they
-/// wait; none where racks fail eight seconds apart (test `innocents`).
+/// Time around a crash in which other crashes are near: servers of a failing rack were
+/// lost within 1 s, and unresponsive ones are detected up to 1 s later. A request that was
+/// running on two of them waits until this time is over. In 2,500 crashes of racks that
+/// failed every four seconds, 257 of 483,000 innocent requests were refused with immediate
+/// retries and 57 with the wait; none where racks fail eight seconds apart (test
+/// `innocents`).
 const BURST: Duration = Duration::from_secs(2);
-/// A sign of life counts against a crash only so much later: bytes that had arrived
-/// before are still read for a while.
-pub(crate) const SETTLE: Duration = Duration::from_millis(200);
-/// Weight from which a request runs alone: two crashes of its own.
+/// Minimum time from a loss to a liveness signal that clears it: bytes received before
+/// the loss are still read for a while.
+pub(crate) const LIVENESS_DELAY: Duration = Duration::from_millis(200);
+/// Weight from which a request runs alone: two crashes of full weight.
 const SUSPECT_WEIGHT: u32 = 2 * FULL_WEIGHT;
-/// Weight from which a request is quarantined: three crashes of its own. A request that
-/// crashes its servers costs three of them.
+/// Weight from which a request is quarantined: three crashes of full weight. A
+/// request that crashes its servers costs three of them.
 const QUARANTINE_WEIGHT: u32 = 3 * FULL_WEIGHT;
-/// Crashes from which a request is quarantined whatever crashed beside it: two such
-/// requests at once would hide each other's guilt.
-const MOST_CRASHES: usize = 5;
+/// Number of crashes from which a request is quarantined whatever other servers crashed:
+/// two requests that crash servers at the same time would otherwise mask each other.
+const QUARANTINE_CRASHES: usize = 5;
 /// How long a request does not run after its last crash. Then it may be tried once, alone:
-/// a wrong verdict ends, and a right one costs a server in this time.
+/// a wrong verdict thus ends, and a correct one costs one server per such period.
 pub const QUARANTINE: Duration = Duration::from_mins(10);
-/// How long crashes are remembered after the last one.
-const REMEMBERED: Duration = Duration::from_hours(1);
-/// The same of a request that was on one server only, as hundreds are after each crash.
-const REMEMBERED_ONCE: Duration = Duration::from_mins(10);
-/// The same of a request against which nothing speaks any more, since the servers lived
-/// on: where servers break one connection in fifty off, these are most of the table.
-const REMEMBERED_CLEAR: Duration = Duration::from_secs(10);
-/// Bounds of the table: some 150 bytes a request, 600 KB. A crash adds what ran on the
-/// server, 128 at most, and what was on few servers is dropped first.
-const MOST_REQUESTS: usize = 4096;
-const MOST_LIVES: usize = 1024;
-/// Records of each kind in one message to another VM, 60 bytes each.
-const MOST_TOLD: usize = 256;
+/// How long a request's crashes are kept after the last one.
+const RETENTION: Duration = Duration::from_hours(1);
+/// The same for a request with a single crash, as hundreds of requests have after each
+/// crash.
+const RETENTION_SINGLE: Duration = Duration::from_mins(10);
+/// The same for a request whose crashes are all cleared, since the servers survived: where
+/// servers drop one connection in fifty, these are most of the table.
+const RETENTION_CLEARED: Duration = Duration::from_secs(10);
+/// Bounds of the table: about 150 bytes per request, 600 KB in total. A crash adds the
+/// requests that ran on the server, at most 128, and requests with the fewest crashes are
+/// evicted first.
+const MAX_REQUESTS: usize = 4096;
+const MAX_INSTANCES: usize = 1024;
+/// Maximum number of records in one message to another VM, 60 bytes each.
+const MAX_SENT: usize = 256;
 
-/// Requests that were on servers that broke off.
+/// Requests that were running on lost servers.
 #[derive(Clone, Debug, Default)]
 pub struct SuspectTable {
     requests: HashMap<RequestFingerprint, SuspectRecord>,
-    lives: HashMap<InstanceTag, InstanceRecord>,
+    instances: HashMap<InstanceTag, InstanceRecord>,
     changes: u64,
 }
 
 impl SuspectTable {
-    /// Whether no request was on a server that broke off.
+    /// Whether the table has no request.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Number of requests.
+    /// Number of requests in the table.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether a request was on a server that broke off.
+    /// Whether a request is in the table.
     pub fn knows(&self, fingerprint: RequestFingerprint) -> bool {
         self.requests.contains_key(&fingerprint)
     }
 
-    /// Notes that `life` broke off under a request.
+    /// Records that an instance was lost while running a request.
     ///
     /// ```
     /// use onyxfall_policy::Moment;
@@ -88,8 +91,8 @@
     ///     body: b"body",
     /// });
     /// let mut table = SuspectTable::default();
-    /// for life in ["s1", "s2", "s3"] {
-    ///     table.record_crash(Moment::ZERO, request, InstanceTag::of(life));
+    /// for server in ["s1", "s2", "s3"] {
+    ///     table.record_crash(Moment::ZERO, request, InstanceTag::of(server));
     /// }
     /// let verdict = table.judge(Moment::ZERO, request);
     /// assert!(matches!(verdict, SuspectVerdict::Quarantined { .. }));
@@ -98,20 +101,23 @@
         &mut self,
         now: Moment,
         fingerprint: RequestFingerprint,
-        life: InstanceTag,
+        instance: InstanceTag,
     ) {
-        let survivals = self.lives.get(&life).map_or(0, |record| record.survivals);
-        self.take_life(now, life, survivals, Some(now));
+        let survivals = self
+            .instances
+            .get(&instance)
+            .map_or(0, |record| record.survivals);
+        self.apply_instance(now, instance, survivals, Some(now));
         let crash = CrashRecord { at: now, survivals };
         let good_runs = self.requests.get(&fingerprint).map_or(0, |r| r.good_runs);
-        self.take_request(fingerprint, good_runs, &[(life, crash)]);
+        self.apply_request(fingerprint, good_runs, &[(instance, crash)]);
         self.bound();
     }
 
-    /// Notes a sign of life of a server.
-    pub fn record_liveness(&mut self, life: InstanceTag, at: Moment) {
+    /// Records a liveness signal of a server instance.
+    pub fn record_liveness(&mut self, instance: InstanceTag, at: Moment) {
         let number = self.changes + 1;
-        if let Some(record) = self.lives.get_mut(&life)
+        if let Some(record) = self.instances.get_mut(&instance)
             && record.record_liveness(at)
         {
             record.changed = number;
@@ -119,35 +125,38 @@
         }
     }
 
-    /// Lives that broke off and of which no sign of life is known since.
+    /// Instances that were lost and have no liveness signal since.
     pub fn lost_instances(&self) -> impl Iterator<Item = InstanceTag> {
-        let lost = self.lives.iter().filter(|(_, life)| life.lost.is_some());
+        let lost = self
+            .instances
+            .iter()
+            .filter(|(_, instance)| instance.lost.is_some());
         lost.map(|(tag, _)| *tag)
     }
 
-    /// Notes that a request ran to a good end: what spoke against it no longer does.
+    /// Records that a request succeeded, which clears its crashes.
     pub fn record_success(&mut self, fingerprint: RequestFingerprint) {
         let number = self.changes + 1;
         if let Some(record) = self.requests.get_mut(&fingerprint)
             && record.len() > 0
         {
-            record.note_good_runs(record.good_runs + 1);
+            record.record_good_runs(record.good_runs + 1);
             record.changed = number;
             self.changes = number;
         }
     }
 
-    /// What may be done with a request.
+    /// Verdict on a request.
     pub fn judge(&self, now: Moment, fingerprint: RequestFingerprint) -> SuspectVerdict {
         let Some(record) = self.requests.get(&fingerprint) else {
             return SuspectVerdict::Clear;
         };
-        let counted: Vec<Moment> = counted(record, &self.lives).collect();
+        let counted: Vec<Moment> = counted(record, &self.instances).collect();
         let Some(newest) = counted.iter().copied().max() else {
             return SuspectVerdict::Clear;
         };
         let weight: u32 = counted.iter().map(|at| self.weight(record, *at)).sum();
-        let is_proved = weight >= QUARANTINE_WEIGHT || counted.len() >= MOST_CRASHES;
+        let is_proved = weight >= QUARANTINE_WEIGHT || counted.len() >= QUARANTINE_CRASHES;
         let quarantine = QUARANTINE.saturating_sub(now - newest);
         let burst = BURST.saturating_sub(now - newest);
         if is_proved && !quarantine.is_zero() {
@@ -161,13 +170,13 @@
         }
     }
 
-    /// Weight of a crash at `at` against a request.
+    /// Weight of a request's crash at `at`.
     fn weight(&self, record: &SuspectRecord, at: Moment) -> u32 {
         let is_near = |lost: Moment| lost <= at + BURST && at <= lost + BURST;
         let is_shared = self
-            .lives
+            .instances
             .iter()
-            .any(|(tag, life)| life.lost.is_some_and(is_near) && !record.was_on(*tag));
+            .any(|(tag, instance)| instance.lost.is_some_and(is_near) && !record.was_on(*tag));
         if is_shared {
             SHARED_WEIGHT
         } else {
@@ -175,48 +184,52 @@
         }
     }
 
-    /// What has changed since `told`, the oldest first; a part of it if it is much.
-    pub fn tell(&self, now: Moment, told: &mut SuspectCursor) -> SuspectUpdate {
-        if told.0 == self.changes {
+    /// Changes since `cursor`, the oldest first and limited in number; advances the cursor
+    /// past them.
+    pub fn tell(&self, now: Moment, cursor: &mut SuspectCursor) -> SuspectUpdate {
+        if cursor.0 == self.changes {
             return SuspectUpdate::default();
         }
         let mut changed: Vec<u64> = self
             .requests
             .values()
             .map(|record| record.changed)
-            .chain(self.lives.values().map(|life| life.changed))
-            .filter(|number| *number > told.0)
+            .chain(self.instances.values().map(|instance| instance.changed))
+            .filter(|number| *number > cursor.0)
             .collect();
         changed.sort_unstable();
-        let up_to = changed.get(MOST_TOLD).map_or(self.changes, |next| next - 1);
-        let is_due = |number: u64| number > told.0 && number <= up_to;
+        let up_to = changed.get(MAX_SENT).map_or(self.changes, |next| next - 1);
+        let is_due = |number: u64| number > cursor.0 && number <= up_to;
         let requests = self.requests.iter().filter(|(_, r)| is_due(r.changed));
-        let lives = self.lives.iter().filter(|(_, life)| is_due(life.changed));
-        let news = SuspectUpdate {
+        let instances = self
+            .instances
+            .iter()
+            .filter(|(_, instance)| is_due(instance.changed));
+        let update = SuspectUpdate {
             requests: requests
-                .map(|(fingerprint, record)| request_news(now, *fingerprint, record))
+                .map(|(fingerprint, record)| request_update(now, *fingerprint, record))
                 .collect(),
-            lives: lives
-                .map(|(tag, life)| InstanceUpdate {
+            lives: instances
+                .map(|(tag, instance)| InstanceUpdate {
                     life: *tag,
-                    survivals: life.survivals,
-                    lost: life.lost.map(|at| now - at),
+                    survivals: instance.survivals,
+                    lost: instance.lost.map(|at| now - at),
                 })
                 .collect(),
         };
-        told.0 = up_to;
-        news
+        cursor.0 = up_to;
+        update
     }
 
-    /// Takes what another VM tells. Returns whether it is to be told on at once: a request
-    /// has been on more than one lost server.
-    pub fn take(&mut self, now: Moment, news: &SuspectUpdate) -> bool {
+    /// Applies another VM's update. Returns whether it must be forwarded at once: it changes
+    /// a request with more than one crash.
+    pub fn take(&mut self, now: Moment, update: &SuspectUpdate) -> bool {
         let mut is_urgent = false;
-        for life in &news.lives {
-            let lost = life.lost.map(|age| now.before(age));
-            self.take_life(now, life.life, life.survivals, lost);
+        for instance in &update.lives {
+            let lost = instance.lost.map(|age| now.before(age));
+            self.apply_instance(now, instance.life, instance.survivals, lost);
         }
-        for request in &news.requests {
+        for request in &update.requests {
             let crashes: Vec<(InstanceTag, CrashRecord)> = request
                 .crashes
                 .iter()
@@ -226,40 +239,49 @@
                     (crash.life, CrashRecord { at, survivals })
                 })
                 .collect();
-            let is_news = self.take_request(request.fingerprint, request.good_runs, &crashes);
-            is_urgent |= is_news && crashes.len() > 1;
+            let is_changed = self.apply_request(request.fingerprint, request.good_runs, &crashes);
+            is_urgent |= is_changed && crashes.len() > 1;
         }
         self.bound();
         is_urgent
     }
 
-    /// Forgets what is old.
+    /// Evicts old records.
     pub fn expire(&mut self, now: Moment) {
-        let lives = &self.lives;
+        let instances = &self.instances;
         self.requests.retain(|_, record| {
-            let remembered = match counted(record, lives).count() {
-                0 => REMEMBERED_CLEAR,
-                1 => REMEMBERED_ONCE,
-                _ => REMEMBERED,
+            let retention = match counted(record, instances).count() {
+                0 => RETENTION_CLEARED,
+                1 => RETENTION_SINGLE,
+                _ => RETENTION,
             };
-            now - record.newest() < remembered
+            now - record.newest() < retention
         });
-        self.lives.retain(|_, life| now - life.noted < REMEMBERED);
+        self.instances
+            .retain(|_, instance| now - instance.updated < RETENTION);
     }
 
-    /// Takes what is known of a life; one that has never broken off is not kept.
-    fn take_life(&mut self, now: Moment, life: InstanceTag, survivals: u32, lost: Option<Moment>) {
+    /// Applies an update on an instance. The record of an instance that was never lost keeps
+    /// an update time of zero, so that it expires first.
+    fn apply_instance(
+        &mut self,
+        now: Moment,
+        instance: InstanceTag,
+        survivals: u32,
+        lost: Option<Moment>,
+    ) {
         let number = self.changes + 1;
-        let record = self.lives.entry(life).or_default();
-        if record.note(survivals, lost) {
-            record.noted = now;
+        let record = self.instances.entry(instance).or_default();
+        if record.record_loss(survivals, lost) {
+            record.updated = now;
             record.changed = number;
             self.changes = number;
         }
     }
 
-    /// Takes what is known of a request that had so many good runs; whether that is news.
-    fn take_request(
+    /// Applies the good runs and crashes of a request; returns whether that changed its
+    /// record.
+    fn apply_request(
         &mut self,
         fingerprint: RequestFingerprint,
         good_runs: u32,
@@ -267,63 +289,64 @@
     ) -> bool {
         let number = self.changes + 1;
         let record = self.requests.entry(fingerprint).or_default();
-        let mut is_news = record.note_good_runs(good_runs);
+        let mut is_changed = record.record_good_runs(good_runs);
         if good_runs == record.good_runs {
-            for (life, crash) in crashes {
-                is_news |= record.record_crash(*life, *crash);
+            for (instance, crash) in crashes {
+                is_changed |= record.record_crash(*instance, *crash);
             }
         }
-        if is_news {
+        if is_changed {
             record.changed = number;
             self.changes = number;
         }
-        is_news
+        is_changed
     }
 
-    /// Drops what was on the fewest servers, the oldest first, beyond the bounds.
+    /// Evicts what exceeds the bounds: requests with the fewest crashes, the oldest first,
+    /// and the oldest instances.
     fn bound(&mut self) {
-        let beyond = self.requests.len().saturating_sub(MOST_REQUESTS);
-        if beyond > 0 {
+        let excess = self.requests.len().saturating_sub(MAX_REQUESTS);
+        if excess > 0 {
             let mut ranked: Vec<(usize, Moment, RequestFingerprint)> = self
                 .requests
                 .iter()
                 .map(|(fingerprint, record)| (record.len(), record.newest(), *fingerprint))
                 .collect();
             ranked.sort_unstable();
-            for (_, _, fingerprint) in ranked.into_iter().take(beyond) {
+            for (_, _, fingerprint) in ranked.into_iter().take(excess) {
                 self.requests.remove(&fingerprint);
             }
         }
-        let beyond = self.lives.len().saturating_sub(MOST_LIVES);
-        if beyond > 0 {
+        let excess = self.instances.len().saturating_sub(MAX_INSTANCES);
+        if excess > 0 {
             let mut ranked: Vec<(Moment, InstanceTag)> = self
-                .lives
+                .instances
                 .iter()
-                .map(|(tag, life)| (life.noted, *tag))
+                .map(|(tag, instance)| (instance.updated, *tag))
                 .collect();
             ranked.sort_unstable();
-            for (_, tag) in ranked.into_iter().take(beyond) {
-                self.lives.remove(&tag);
+            for (_, tag) in ranked.into_iter().take(excess) {
+                self.instances.remove(&tag);
             }
         }
     }
 }
 
-/// When the servers broke off that speak against a request: those that did not live on.
+/// Times of a request's crashes, without those of servers that survived.
 fn counted(
     record: &SuspectRecord,
-    lives: &HashMap<InstanceTag, InstanceRecord>,
+    instances: &HashMap<InstanceTag, InstanceRecord>,
 ) -> impl Iterator<Item = Moment> {
-    let has_survived = |life: InstanceTag, crash: CrashRecord| {
-        let known = lives.get(&life);
+    let has_survived = |instance: InstanceTag, crash: CrashRecord| {
+        let known = instances.get(&instance);
         known.is_some_and(|known| known.survivals > crash.survivals)
     };
     let crashes = record.crashes();
-    let crashes = crashes.filter(move |(life, crash)| !has_survived(*life, *crash));
+    let crashes = crashes.filter(move |(instance, crash)| !has_survived(*instance, *crash));
     crashes.map(|(_, crash)| crash.at)
 }
 
-fn request_news(
+fn request_update(
     now: Moment,
     fingerprint: RequestFingerprint,
     record: &SuspectRecord,
--- a/crates/suspects/src/news.rs
+++ b/crates/suspects/src/update.rs
@@ -1,56 +1,57 @@
-//! What VMs tell each other of suspects.
+//! Updates on suspects that VMs exchange.
 //!
-//! Times travel as ages, since VMs share no clock.
+//! Times are sent as ages, since VMs share no clock.
 
 use std::time::Duration;
 
 use crate::fingerprint::RequestFingerprint;
-use crate::life::InstanceTag;
+use crate::instance::InstanceTag;
 
-/// A server that broke off under a request.
+/// The loss of a server instance that was running a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashUpdate {
-    /// Its life.
+    /// The instance.
     pub life: InstanceTag,
-    /// How long ago.
+    /// Time since the loss.
     pub age: Duration,
-    /// How often the life had survived before.
+    /// Survivals of the instance before this loss.
     pub survivals: u32,
 }
 
-/// What is known of a request.
+/// Update on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestUpdate {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// How often it ran to a good end after servers had broken off under it.
+    /// Number of times the request succeeded after losses of servers that were running
+    /// it.
     pub good_runs: u32,
-    /// Servers that broke off under it since.
+    /// Losses of servers that were running the request, since its last success.
     pub crashes: Vec<CrashUpdate>,
 }
 
-/// What is known of a life that broke off.
+/// Update on a server instance whose connection was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InstanceUpdate {
-    /// The life.
+    /// The instance.
     pub life: InstanceTag,
-    /// How often it gave a sign of life after it had broken off.
+    /// Number of times a liveness signal of the instance followed a loss.
     pub survivals: u32,
-    /// How long ago it broke off since the last of these, if it did.
+    /// Time since the first loss after the last survival, if there was one.
     pub lost: Option<Duration>,
 }
 
-/// What has changed of requests and lives.
+/// Changes of requests and of server instances.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SuspectUpdate {
-    /// Requests.
+    /// Changed requests.
     pub requests: Vec<RequestUpdate>,
-    /// Lives.
+    /// Changed server instances.
     pub lives: Vec<InstanceUpdate>,
 }
 
 impl SuspectUpdate {
-    /// Whether there is nothing.
+    /// Whether the update contains no change.
     ///
     /// ```
     /// assert!(onyxfall_suspects::SuspectUpdate::default().is_empty());
@@ -60,6 +61,6 @@
     }
 }
 
-/// What was told in one direction of a link: all changes up to a number.
+/// Send cursor of one direction of a link: all changes up to this number are sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SuspectCursor(pub(crate) u64);
--- a/crates/suspects/src/verdict.rs
+++ b/crates/suspects/src/verdict.rs
@@ -1,31 +1,31 @@
-//! What may be done with a request.
+//! Verdicts on requests.
 
 use std::time::Duration;
 
-/// What may be done with a request that may have crashed servers.
+/// Verdict on a request that may have crashed servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspectVerdict {
-    /// It runs as any other. It may have been on a server that crashed, as many others
-    /// were.
+    /// The request runs normally. It may have been running on a server that crashed, as
+    /// many other requests were.
     Clear,
-    /// It was on servers that crashed a moment ago, one after the other: whether others
-    /// crash without it is seen when that is over.
+    /// The request was running on several servers that crashed a moment ago. It waits until
+    /// it is known whether servers that did not run it crashed in the same burst.
     Pending {
-        /// Time until then.
+        /// Time until the end of the burst.
         left: Duration,
     },
-    /// It has very likely crashed servers: it runs alone, on one VM for the whole
+    /// The request has very likely crashed servers: it runs alone, on one VM of the whole
     /// system.
     Suspected,
-    /// It has crashed servers: it does not run.
+    /// The request has crashed servers: it does not run.
     Quarantined {
-        /// Time until it may be tried again.
+        /// Time until the request may be tried again.
         left: Duration,
     },
 }
 
 impl SuspectVerdict {
-    /// Word for logs.
+    /// Name of the verdict in logs.
     ///
     /// ```
     /// use onyxfall_suspects::SuspectVerdict;
--- a/crates/suspects/tests/innocents.rs
+++ b/crates/suspects/tests/innocents.rs
@@ -1,8 +1,9 @@
-//! How often a proper request is refused because servers crashed around it, and how many
-//! servers one request costs that crashes them.
+//! How often an innocent request is refused because servers crashed near it, and how many
+//! servers a request that crashes them costs.
 //!
-//! Racks and domains fail together, and a request that was on one of their servers is sent
-//! on to the next: it may be on several that crash. The figures are exact for the seed.
+//! Racks and failure domains fail together, and a request from one of their servers is
+//! retried on the next one, so that it may have run on several that crash. The figures are
+//! exact for the seed.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -16,22 +17,22 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Servers of a region; as few as the smallest region of the users' sites that has more
-/// than a pair.
+/// Servers of a region: the size of the smallest region of the users' sites with more than
+/// two servers.
 const SERVERS: usize = 6;
-/// Requests on each: as many as a small model server runs at once.
+/// Concurrent requests per server: as many as a small model server runs.
 const RUNS: usize = 32;
-/// Servers that a request may reach, its caller's one repeat included.
+/// Maximum attempts of a request, including its caller's one retry.
 const ATTEMPTS: usize = 4;
 /// Step of the simulation.
 const STEP: Duration = Duration::from_millis(50);
-/// Time until a server is back after a crash, under a new name.
-const BACK_AFTER: Duration = Duration::from_secs(3);
-/// Racks that fail.
+/// Time until a server restarts after a crash, as a new instance.
+const RESTART_AFTER: Duration = Duration::from_secs(3);
+/// Number of rack failures.
 const BURSTS: usize = 420;
-/// Time between two: longer than any request and its repeats take.
+/// Time between two rack failures: longer than any request with its retries takes.
 const BURST_PAUSE: Duration = Duration::from_secs(8);
-/// Longest run; most end much earlier.
+/// Longest run; most are much shorter.
 const LONGEST_RUN: Duration = Duration::from_secs(4);
 
 struct Run {
@@ -41,22 +42,22 @@
 }
 
 struct Server {
-    life: usize,
+    instance: usize,
     down_until: Moment,
     runs: Vec<Run>,
 }
 
-/// One region: servers, their runs, and what one VM knows of crashes.
+/// One region: servers, their runs, and one VM's table of crashes.
 struct Region {
     rng: StdRng,
     now: Moment,
     table: SuspectTable,
     servers: Vec<Server>,
-    lives: usize,
+    instances: usize,
     next_request: u64,
-    /// Requests that come back, and when.
+    /// Pending requests, and when they are retried.
     waiting: Vec<(Moment, RequestFingerprint, usize)>,
-    /// Proper requests by the worst verdict that any of their repeats met.
+    /// Innocent retries by the verdict, for verdicts other than clear.
     refused: BTreeMap<&'static str, usize>,
 }
 
@@ -72,8 +73,8 @@
 
 impl Region {
     fn new(seed: u64) -> Self {
-        let servers = (0..SERVERS).map(|life| Server {
-            life,
+        let servers = (0..SERVERS).map(|instance| Server {
+            instance,
             down_until: Moment::ZERO,
             runs: Vec::new(),
         });
@@ -82,18 +83,18 @@
             now: Moment::ZERO,
             table: SuspectTable::default(),
             servers: servers.collect(),
-            lives: SERVERS,
+            instances: SERVERS,
             next_request: 0,
             waiting: Vec::new(),
             refused: BTreeMap::new(),
         }
     }
 
-    /// Lets time pass: runs end, new ones begin where there is room.
+    /// Advances the time by a step: runs end, and new ones start where there is room.
     fn step(&mut self) {
         self.now = self.now + STEP;
         let now = self.now;
-        self.call_back();
+        self.retry_due();
         for index in 0..SERVERS {
             if now < self.servers[index].down_until {
                 continue;
@@ -110,17 +111,17 @@
         }
     }
 
-    /// Lets requests come back whose time it is.
-    fn call_back(&mut self) {
+    /// Retries the pending requests that are due.
+    fn retry_due(&mut self) {
         let now = self.now;
         let due: Vec<_> = self.waiting.extract_if(.., |call| call.0 <= now).collect();
         for (_, request, attempts) in due {
-            self.send_on(request, attempts);
+            self.retry(request, attempts);
         }
     }
 
     fn begin(&mut self, index: usize, request: RequestFingerprint, attempts: usize) {
-        // Short runs are the usual ones.
+        // Most runs are short.
         let part: f64 = self.rng.random::<f64>().powi(2);
         let ends = self.now + LONGEST_RUN.mul_f64(part.max(0.02));
         self.servers[index].runs.push(Run {
@@ -130,30 +131,30 @@
         });
     }
 
-    /// A server crashes; its requests are noted and sent on to servers that run, unless
+    /// Crashes a server. Its requests are recorded and retried on running servers, unless
     /// their verdict forbids it.
     fn crash(&mut self, index: usize) {
         let now = self.now;
         if now < self.servers[index].down_until {
             return;
         }
-        let life = InstanceTag::of(&format!("life{}", self.servers[index].life));
+        let instance = InstanceTag::of(&format!("life{}", self.servers[index].instance));
         let lost = std::mem::take(&mut self.servers[index].runs);
-        self.servers[index].down_until = now + BACK_AFTER;
-        self.servers[index].life = self.lives;
-        self.lives += 1;
+        self.servers[index].down_until = now + RESTART_AFTER;
+        self.servers[index].instance = self.instances;
+        self.instances += 1;
         for run in &lost {
-            self.table.record_crash(now, run.request, life);
+            self.table.record_crash(now, run.request, instance);
         }
         for run in lost {
             if run.attempts < ATTEMPTS {
-                self.send_on(run.request, run.attempts + 1);
+                self.retry(run.request, run.attempts + 1);
             }
         }
     }
 
-    /// Sends a request to a server that runs, as its verdict has it.
-    fn send_on(&mut self, request: RequestFingerprint, attempts: usize) {
+    /// Retries a request on a running server, as its verdict allows.
+    fn retry(&mut self, request: RequestFingerprint, attempts: usize) {
         let verdict = self.table.judge(self.now, request);
         if verdict != SuspectVerdict::Clear {
             *self.refused.entry(verdict.as_str()).or_default() += 1;
@@ -179,10 +180,12 @@
             .collect()
     }
 
-    /// The verdicts that proper requests met.
-    fn told(&self) -> String {
+    /// Counts of the verdicts on innocent requests.
+    fn verdict_counts(&self) -> String {
         let counts = self.refused.iter();
-        let counts: Vec<String> = counts.map(|(word, n)| format!("{word} {n}")).collect();
+        let counts: Vec<String> = counts
+            .map(|(verdict, n)| format!("{verdict} {n}"))
+            .collect();
         counts.join(", ")
     }
 
@@ -194,10 +197,10 @@
     }
 }
 
-/// Up to four of six servers crash within a second, as those of a rack do, a thousand crashes in all;
-/// the next rack fails seconds later.
+/// Up to four of six servers crash within a second, as those of a rack do, about a thousand
+/// crashes in total. The next rack fails seconds later.
 #[test]
-fn proper_requests_are_not_refused_for_racks_that_fail() {
+fn innocent_requests_are_not_refused_when_racks_fail() {
     let mut region = Region::new(11);
     let mut crashes = 0;
     for _ in 0..BURSTS {
@@ -215,7 +218,7 @@
     let figures = format!(
         "{crashes} crashes in {BURSTS} bursts, {} requests; judged: {}\n",
         region.next_request,
-        region.told()
+        region.verdict_counts()
     );
     expect![[r"
         1085 crashes in 420 bursts, 437796 requests; judged: pending 1557, suspected 717
@@ -223,7 +226,7 @@
     .assert_eq(&figures);
 }
 
-/// A request that crashes its servers comes back every half second, among proper ones.
+/// A request that crashes its servers is retried every half second, among innocent ones.
 #[test]
 fn a_request_that_crashes_its_servers_costs_three_of_them() {
     let mut figures = String::new();
@@ -250,18 +253,18 @@
             region.crash(index);
             lost += 1;
         }
-        let proper = region.refused.get("quarantined").copied().unwrap_or(0);
+        let innocent = region.refused.get("quarantined").copied().unwrap_or(0);
         let _ = writeln!(
             figures,
-            "seed {seed}: {lost} servers, {proper} proper requests refused"
+            "seed {seed}: {lost} servers, {innocent} innocent requests refused"
         );
     }
     expect![[r"
-        seed 1: 3 servers, 1 proper requests refused
-        seed 2: 3 servers, 1 proper requests refused
-        seed 3: 3 servers, 2 proper requests refused
-        seed 4: 3 servers, 0 proper requests refused
-        seed 5: 3 servers, 2 proper requests refused
+        seed 1: 3 servers, 1 innocent requests refused
+        seed 2: 3 servers, 1 innocent requests refused
+        seed 3: 3 servers, 2 innocent requests refused
+        seed 4: 3 servers, 0 innocent requests refused
+        seed 5: 3 servers, 2 innocent requests refused
     "]]
     .assert_eq(&figures);
 }
--- a/crates/suspects/tests/verdicts.rs
+++ b/crates/suspects/tests/verdicts.rs
@@ -1,4 +1,4 @@
-//! Verdicts on requests, from what was on servers that broke off.
+//! Verdicts on requests that were running on lost servers.
 
 use std::time::Duration;
 
@@ -23,25 +23,25 @@
     })
 }
 
-/// Something that a VM notes, at a time in milliseconds.
+/// An event that a VM records, with its time in milliseconds.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// A server broke off under a request.
+    /// A server was lost while running a request.
     Lost(u64, &'static str, &'static str),
-    /// A request ran to a good end, after what came before.
+    /// A request succeeded, after the events before.
     Served(&'static str),
-    /// A server gave a sign of life.
+    /// A liveness signal of a server was received.
     Alive(u64, &'static str),
 }
 
-fn play(table: &mut SuspectTable, events: &[Event]) {
+fn apply_events(table: &mut SuspectTable, events: &[Event]) {
     for event in events {
         match *event {
-            Event::Lost(when, body, life) => {
-                table.record_crash(at(when), request(body), InstanceTag::of(life));
+            Event::Lost(when, body, name) => {
+                table.record_crash(at(when), request(body), InstanceTag::of(name));
             }
             Event::Served(body) => table.record_success(request(body)),
-            Event::Alive(when, life) => table.record_liveness(InstanceTag::of(life), at(when)),
+            Event::Alive(when, name) => table.record_liveness(InstanceTag::of(name), at(when)),
         }
     }
 }
@@ -57,25 +57,25 @@
 
 const CASES: &[VerdictCase] = &[
     VerdictCase {
-        name: "one server: hundreds of requests are on one that crashes",
+        name: "one crash, as hundreds of requests have after each crash",
         events: &[Lost(0, "a", "s1")],
         when: 10,
         verdict: "clear",
     },
     VerdictCase {
-        name: "two a moment ago: others may follow",
+        name: "two crashes a moment ago, more may follow",
         events: &[Lost(0, "a", "s1"), Lost(100, "a", "s2")],
         when: 200,
         verdict: "pending",
     },
     VerdictCase {
-        name: "two, and nothing else crashed around them",
+        name: "two crashes, no other server crashed near them",
         events: &[Lost(0, "a", "s1"), Lost(100, "a", "s2")],
         when: 2200,
         verdict: "suspected",
     },
     VerdictCase {
-        name: "two, and others crashed around them",
+        name: "two crashes, others crashed near them",
         events: &[
             Lost(0, "a", "s1"),
             Lost(100, "a", "s2"),
@@ -85,7 +85,7 @@
         verdict: "clear",
     },
     VerdictCase {
-        name: "three, within half a second",
+        name: "three crashes within half a second",
         events: &[
             Lost(0, "a", "s1"),
             Lost(100, "a", "s2"),
@@ -95,7 +95,7 @@
         verdict: "quarantined",
     },
     VerdictCase {
-        name: "three, minutes apart",
+        name: "three crashes, minutes apart",
         events: &[
             Lost(0, "a", "s1"),
             Lost(60_000, "a", "s2"),
@@ -105,7 +105,7 @@
         verdict: "quarantined",
     },
     VerdictCase {
-        name: "the same server three times is one crash",
+        name: "three losses of the same server are one crash",
         events: &[
             Lost(0, "a", "s1"),
             Lost(100, "a", "s1"),
@@ -115,7 +115,7 @@
         verdict: "clear",
     },
     VerdictCase {
-        name: "three of a rack, in which others crashed without it",
+        name: "three crashes in a rack where servers without the request crashed too",
         events: &[
             Lost(0, "a", "s1"),
             Lost(20, "b", "s4"),
@@ -127,7 +127,7 @@
         verdict: "clear",
     },
     VerdictCase {
-        name: "five, whatever crashed beside it",
+        name: "five crashes, whatever other servers crashed",
         events: &[
             Lost(0, "a", "s1"),
             Lost(20, "b", "s6"),
@@ -140,7 +140,7 @@
         verdict: "quarantined",
     },
     VerdictCase {
-        name: "connections broke, but the servers live",
+        name: "connections were lost, but the servers survived",
         events: &[
             Lost(0, "a", "s1"),
             Lost(100, "a", "s2"),
@@ -153,7 +153,7 @@
         verdict: "clear",
     },
     VerdictCase {
-        name: "bytes that had come before the crash are no sign of life",
+        name: "bytes received before the crash are no liveness signal",
         events: &[
             Lost(0, "a", "s1"),
             Lost(100, "a", "s2"),
@@ -164,7 +164,7 @@
         verdict: "quarantined",
     },
     VerdictCase {
-        name: "it ran to a good end since",
+        name: "the request succeeded since",
         events: &[
             Lost(0, "a", "s1"),
             Lost(100, "a", "s2"),
@@ -175,7 +175,7 @@
         verdict: "clear",
     },
     VerdictCase {
-        name: "a server that lived on crashes under it later",
+        name: "a server that survived crashes later",
         events: &[
             Lost(0, "a", "s1"),
             Alive(1000, "s1"),
@@ -187,7 +187,7 @@
         verdict: "quarantined",
     },
     VerdictCase {
-        name: "after its time it may be tried once more, alone",
+        name: "after the quarantine the request may be tried once, alone",
         events: &[
             Lost(0, "a", "s1"),
             Lost(100, "a", "s2"),
@@ -197,7 +197,7 @@
         verdict: "suspected",
     },
     VerdictCase {
-        name: "and is refused again after the next crash",
+        name: "the request is refused again after the next crash",
         events: &[
             Lost(0, "a", "s1"),
             Lost(100, "a", "s2"),
@@ -210,20 +210,20 @@
 ];
 
 #[test]
-fn requests_are_judged_by_the_servers_that_they_were_lost_with() {
+fn requests_are_judged_by_the_servers_lost_while_running_them() {
     for case in CASES {
         let mut table = SuspectTable::default();
-        play(&mut table, case.events);
+        apply_events(&mut table, case.events);
         let verdict = table.judge(at(case.when), request("a"));
         assert_eq!(verdict.as_str(), case.verdict, "{}", case.name);
     }
 }
 
 #[test]
-fn the_time_told_is_what_is_left_of_the_quarantine() {
+fn the_verdict_carries_the_remaining_quarantine() {
     let mut table = SuspectTable::default();
-    for (when, life) in [(0, "s1"), (100, "s2"), (400, "s3")] {
-        table.record_crash(at(when), request("a"), InstanceTag::of(life));
+    for (when, server) in [(0, "s1"), (100, "s2"), (400, "s3")] {
+        table.record_crash(at(when), request("a"), InstanceTag::of(server));
     }
     let left = QUARANTINE.saturating_sub(Duration::from_mins(1));
     let verdict = table.judge(at(60_400), request("a"));
@@ -231,10 +231,10 @@
 }
 
 #[test]
-fn tables_are_bounded_and_keep_what_was_on_most_servers() {
+fn tables_are_bounded_and_keep_requests_with_most_crashes() {
     let mut table = SuspectTable::default();
-    for life in ["s1", "s2", "s3"] {
-        table.record_crash(at(0), request("guilty"), InstanceTag::of(life));
+    for server in ["s1", "s2", "s3"] {
+        table.record_crash(at(0), request("guilty"), InstanceTag::of(server));
     }
     for number in 0..6000 {
         let flood = request(&format!("flood{number}"));
@@ -244,90 +244,91 @@
     let verdict = table.judge(at(20_000), request("guilty"));
     assert_eq!(verdict.as_str(), "quarantined");
     table.expire(at(10_000 + 6000 + 3_600_000));
-    assert!(table.is_empty(), "everything is forgotten in time");
+    assert!(table.is_empty(), "all records expire");
 }
 
-/// Tells `from`'s news to `to` until nothing is left to tell.
-fn tell_all(now: Moment, from: &SuspectTable, to: &mut SuspectTable) {
-    let mut told = SuspectCursor::default();
+/// Sends updates of `from` to `to` until none are left.
+fn send_all(now: Moment, from: &SuspectTable, to: &mut SuspectTable) {
+    let mut cursor = SuspectCursor::default();
     loop {
-        let news = from.tell(now, &mut told);
-        if news.is_empty() {
+        let update = from.tell(now, &mut cursor);
+        if update.is_empty() {
             return;
         }
-        to.take(now, &news);
+        to.take(now, &update);
     }
 }
 
-/// On a VM that has run for more than an hour: that servers have survived is not forgotten
-/// with the next look at what is old, or what they cleared would count again.
+/// On a VM that has run for longer than records are kept, received survivals must not expire
+/// at once: the crashes that they clear would count again.
 #[test]
-fn survivals_told_late_in_a_life_are_kept() {
+fn survivals_received_by_a_long_running_vm_are_kept() {
     let now = at(4_002_000);
-    let mut near = SuspectTable::default();
-    for life in ["s1", "s2", "s3"] {
+    let mut first = SuspectTable::default();
+    for server in ["s1", "s2", "s3"] {
         let events = [
-            Event::Lost(4_000_000, "a", life),
-            Event::Alive(4_001_000, life),
+            Event::Lost(4_000_000, "a", server),
+            Event::Alive(4_001_000, server),
         ];
-        play(&mut near, &events);
+        apply_events(&mut first, &events);
     }
-    let mut far = SuspectTable::default();
-    tell_all(now, &near, &mut far);
-    far.expire(now);
-    assert_eq!(far.judge(now, request("a")), SuspectVerdict::Clear);
+    let mut second = SuspectTable::default();
+    send_all(now, &first, &mut second);
+    second.expire(now);
+    assert_eq!(second.judge(now, request("a")), SuspectVerdict::Clear);
 }
 
-/// A connection broke and the server lived on: the news, which is older with each way, is
-/// no second break. On a day with broken connections it went round and round between 68
-/// VMs, which cost a tenth of the day's worth in bytes between regions.
+/// A connection was lost and the server survived. The time of the loss is sent as an age and
+/// becomes later with each hop, so that an update must not count as a second loss. On a day
+/// with broken connections such updates circulated between 68 VMs, which cost a tenth of the
+/// day's value in inter-region traffic.
 #[test]
-fn a_break_that_is_told_late_is_no_second_one() {
-    for way in [60, 150, 400, 900] {
+fn a_loss_that_is_received_late_is_not_a_second_loss() {
+    for delay in [60, 150, 400, 900] {
         let mut tables = [(); 3].map(|()| SuspectTable::default());
-        let mut told = [[SuspectCursor::default(); 3]; 3];
+        let mut cursors = [[SuspectCursor::default(); 3]; 3];
         let events = [Event::Lost(0, "a", "s1"), Event::Alive(250, "s1")];
-        play(&mut tables[0], &events);
+        apply_events(&mut tables[0], &events);
         let mut now = 250;
         let mut last_round = 0;
         for round in 1..=20 {
             for (from, to) in [(0, 1), (1, 2), (2, 0), (1, 0), (2, 1), (0, 2)] {
-                let news = tables[from].tell(at(now), &mut told[from][to]);
-                if !news.is_empty() {
+                let update = tables[from].tell(at(now), &mut cursors[from][to]);
+                if !update.is_empty() {
                     last_round = round;
                 }
-                now += way;
-                tables[to].take(at(now), &news);
+                now += delay;
+                tables[to].take(at(now), &update);
             }
         }
         assert!(
             last_round <= 3,
-            "told for {last_round} rounds with ways of {way} ms"
+            "updates for {last_round} rounds with delays of {delay} ms"
         );
         for table in &tables {
             assert!(
                 table.lost_instances().next().is_none(),
-                "the server lived on"
+                "the server survived"
             );
         }
     }
 }
 
 const BODIES: [&str; 3] = ["a", "b", "c"];
-const LIVES: [&str; 5] = ["s1", "s2", "s3", "s4", "s5"];
+const SERVERS: [&str; 5] = ["s1", "s2", "s3", "s4", "s5"];
 
 fn events() -> impl Strategy<Value = Vec<Event>> {
-    let event = (0..3u8, 0..3usize, 0..5usize).prop_map(|(kind, body, life)| match kind {
-        0 | 1 => Event::Lost(0, BODIES[body], LIVES[life]),
-        _ => Event::Alive(0, LIVES[life]),
+    let event = (0..3u8, 0..3usize, 0..5usize).prop_map(|(kind, body, server)| match kind {
+        0 | 1 => Event::Lost(0, BODIES[body], SERVERS[server]),
+        _ => Event::Alive(0, SERVERS[server]),
     });
     proptest::collection::vec(event, 0..30).prop_map(|events| {
-        // Signs of life come a second after the crash before them: no two of a kind at once.
+        // Each event is 1.5 s after the one before, so that liveness signals count as survivals.
         let stamp = |(index, event)| {
             let when = 1500 * index as u64;
             match event {
-                Event::Lost(_, body, life) => Event::Lost(when, body, life),
-                Event::Alive(_, life) => Event::Alive(when, life),
+                Event::Lost(_, body, server) => Event::Lost(when, body, server),
+                Event::Alive(_, server) => Event::Alive(when, server),
                 Event::Served(body) => Event::Served(body),
             }
         };
@@ -336,10 +337,10 @@
 }
 
 proptest! {
-    /// VMs that each saw a part of what happened judge alike once they have heard of each
-    /// other, whatever the order, the repeats and the ways of the news.
+    /// VMs that each recorded a part of the events reach the same verdicts after exchanging
+    /// updates, whatever the order, repeats and routes of the updates.
     #[test]
-    fn vms_that_hear_each_other_judge_alike(
+    fn vms_that_exchange_updates_reach_the_same_verdicts(
         all in events(),
         splits in proptest::collection::vec(0..3usize, 30),
         order in proptest::collection::vec((0..3usize, 0..3usize), 0..12),
@@ -347,12 +348,12 @@
         let now = at(100_000);
         let mut tables = [(); 3].map(|()| SuspectTable::default());
         for (event, vm) in all.iter().zip(&splits) {
-            play(&mut tables[*vm], std::slice::from_ref(event));
+            apply_events(&mut tables[*vm], std::slice::from_ref(event));
         }
-        let ways = [(0, 1), (1, 2), (2, 1), (1, 0), (0, 2), (2, 0)];
-        for (from, to) in order.into_iter().chain(ways).chain(ways) {
-            let told = tables[from].clone();
-            tell_all(now, &told, &mut tables[to]);
+        let links = [(0, 1), (1, 2), (2, 1), (1, 0), (0, 2), (2, 0)];
+        for (from, to) in order.into_iter().chain(links).chain(links) {
+            let sender = tables[from].clone();
+            send_all(now, &sender, &mut tables[to]);
         }
         for body in BODIES {
             let verdicts = tables.each_ref().map(|table| table.judge(now, request(body)));
@@ -361,26 +362,26 @@
         }
     }
 
-    /// News ends: what is told to and fro changes nothing after a few rounds.
+    /// Updates that two VMs exchange change nothing after a few rounds.
     #[test]
-    fn news_does_not_go_round_for_ever(all in events()) {
-        let mut near = SuspectTable::default();
-        let mut far = SuspectTable::default();
-        play(&mut near, &all);
-        let (mut told_far, mut told_near) = (SuspectCursor::default(), SuspectCursor::default());
+    fn updates_do_not_circulate_forever(all in events()) {
+        let mut first = SuspectTable::default();
+        let mut second = SuspectTable::default();
+        apply_events(&mut first, &all);
+        let (mut cursor_second, mut cursor_first) = (SuspectCursor::default(), SuspectCursor::default());
         let mut rounds = 0;
         loop {
-            // Each way takes 60 ms, which makes every age a little older than it is.
+            // Each hop takes 60 ms, so that the receiver's time of every crash is 60 ms late.
             let sent = at(100_000 + rounds * 120);
-            let news = near.tell(sent, &mut told_far);
-            far.take(sent + Duration::from_millis(60), &news);
-            let back = far.tell(sent + Duration::from_millis(60), &mut told_near);
-            near.take(sent + Duration::from_millis(120), &back);
-            if news.is_empty() && back.is_empty() {
+            let update = first.tell(sent, &mut cursor_second);
+            second.take(sent + Duration::from_millis(60), &update);
+            let reply = second.tell(sent + Duration::from_millis(60), &mut cursor_first);
+            first.take(sent + Duration::from_millis(120), &reply);
+            if update.is_empty() && reply.is_empty() {
                 break;
             }
             rounds += 1;
-            prop_assert!(rounds < 6, "still told after {} rounds", rounds);
+            prop_assert!(rounds < 6, "still updates after {} rounds", rounds);
         }
     }
 }
