--- a/crates/overlay/src/evidence.rs
+++ b/crates/overlay/src/evidence.rs
@@ -1,45 +1,45 @@
-//! How a VM knows that another one lives.
+//! Evidence by which a VM treats another one as alive.
 //!
-//! Hearsay that is passed on without end would keep a dead VM alive. So evidence is
-//! ordered by how far it has come, and each scope of telling takes only what is
-//! nearer than itself: a VM's own word names whom it hears, a region's word names
-//! whom its aggregators hear, a fleet's word names both, and is never passed on but to
-//! VMs that know nobody.
+//! Forwarding second-hand liveness without a limit would keep a dead VM alive. Evidence
+//! is therefore ordered by its distance from the observer, and an update of each scope
+//! lists only VMs with closer evidence: an own update lists the VMs that the sender
+//! receives from, a regional one those that the aggregators of the region receive from,
+//! and a fleet update both. Fleet evidence is forwarded only to VMs that know no others.
 
-/// Best evidence that a VM lives, the weakest first.
+/// Best evidence that a VM is alive, ordered from the weakest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Evidence {
-    /// Nobody has named it lately.
+    /// No recent update lists the VM.
     #[default]
     None,
-    /// An aggregator names it that this VM reports to, or has asked.
+    /// Listed by an aggregator that this VM reports to or has queried.
     Fleet,
-    /// An aggregator of another region names it as one of its region.
+    /// Listed by an aggregator of another region as a VM of that region.
     Region,
-    /// An aggregator of this region hears it.
+    /// An aggregator of this region receives messages from the VM.
     Neighbour,
-    /// This VM hears it itself.
+    /// This VM receives messages from it directly.
     Direct,
 }
 
-/// Whom a word names.
+/// Set of VMs that a roster update lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UpdateScope {
-    /// VMs of its region that the teller hears itself.
+    /// VMs of the sender's region from which it receives messages directly.
     Own,
-    /// VMs of its region that its aggregators hear.
+    /// VMs of the sender's region from which its aggregators receive messages.
     Region,
-    /// Every VM of which the teller has evidence of its own or of an aggregator.
+    /// Every VM for which the sender has direct, neighbour or regional evidence.
     Fleet,
-    /// Aggregators of which the teller knows in any way, for a VM that knows nobody.
+    /// Aggregators for which the sender has any evidence, for a VM that knows no others.
     Hint,
 }
 
 impl UpdateScope {
-    /// Every scope, by its number in messages.
+    /// Every scope, in the order of the numbers in messages.
     pub const ALL: [Self; 4] = [Self::Own, Self::Region, Self::Fleet, Self::Hint];
 
-    /// Its number in messages.
+    /// Number of the scope in messages.
     ///
     /// ```
     /// use onyxfall_overlay::UpdateScope;
@@ -51,13 +51,13 @@
         self as u32
     }
 
-    /// The scope of a number in a message; none if it is of a later version.
+    /// Scope for a number in a message; none for numbers of later versions.
     pub fn from_number(number: u32) -> Option<Self> {
         let index = usize::try_from(number).ok()?;
         Self::ALL.get(index).copied()
     }
 
-    /// Least evidence with which a VM is named in this scope.
+    /// Minimum evidence for a VM to be listed in this scope.
     pub const fn least_evidence(self) -> Evidence {
         match self {
             Self::Own => Evidence::Direct,
@@ -67,12 +67,13 @@
         }
     }
 
-    /// Whether only VMs of the teller's region are named.
+    /// Whether the scope lists only VMs of the sender's region.
     pub const fn is_regional(self) -> bool {
         matches!(self, Self::Own | Self::Region)
     }
 
-    /// What a VM of the region (`is_near`) or of another one takes from being named.
+    /// Evidence that a listing in this scope gives for a VM of the receiver's own region
+    /// (`is_near`) or of another one.
     pub const fn evidence(self, is_near: bool) -> Evidence {
         match (self, is_near) {
             (Self::Own, true) => Evidence::Neighbour,
--- a/crates/overlay/src/levels.rs
+++ b/crates/overlay/src/levels.rs
@@ -1,8 +1,8 @@
-//! Which VMs are aggregators, and which of them a VM reports to.
+//! Selection of the aggregators, and of those that a VM reports to.
 //!
-//! Worked out from what a VM sees, without a word to anybody: VMs with the same view
-//! agree. Large VMs go first, since an aggregator of 50 VMs handles some 650 frames a
-//! second; among equals hashing decides.
+//! Each VM computes the selection from its own view without exchanging messages, so VMs
+//! with the same view agree. Large VMs are selected first, since an aggregator of 50 VMs
+//! handles about 650 frames a second; among VMs of equal size a hash decides.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -12,31 +12,31 @@
 use crate::record::VmRecord;
 use crate::roster::Roster;
 
-/// Largest region whose VMs all tell each other. Every VM hears everybody without a
-/// detour, and eight VMs tell each other each 60 ms with 117 frames a second and VM.
+/// Largest region that is a full mesh. Every VM receives directly from all others there;
+/// eight VMs that send every 60 ms cost 117 frames a second per VM.
 pub const MESH_VMS: usize = 8;
-/// VMs of a data centre for which there are two aggregators; with more, there are two
-/// more for each such number.
+/// VMs of a data centre per pair of aggregators; each further group of this size, or part
+/// of one, gets another pair.
 pub const GROUP_VMS: usize = 64;
-/// Aggregators of a group: one may be lost.
+/// Aggregators per group. Two tolerate the loss of one.
 const GROUP_AGGREGATORS: usize = 2;
-/// Aggregators of another region that tell an aggregator of their VMs: one may be lost
-/// at once, or two while regions are few.
-const FAR_TELLERS: std::ops::RangeInclusive<usize> = 2..=3;
-/// Tellers over all regions that one more is given up for: at 44 regions an aggregator
-/// takes 215 frames a second from other regions.
-const ALL_FAR_TELLERS: usize = 24;
+/// Number of aggregators of another region that send their VMs to one aggregator. Two
+/// tolerate the loss of one; three, used while regions are few, that of two.
+const REMOTE_SOURCES: std::ops::RangeInclusive<usize> = 2..=3;
+/// Target for the number of sources over all regions, which reduces the number per region:
+/// at 44 regions an aggregator receives 215 frames a second from other regions.
+const TARGET_REMOTE_SOURCES: usize = 24;
 
 /// The two aggregators that a VM reports to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MemberAggregators<'a> {
-    /// The one that counts its work.
+    /// The aggregator that counts the work of the VM.
     pub(crate) primary: &'a VmRecord,
-    /// The one that takes over.
+    /// The aggregator that takes over when the primary fails.
     pub(crate) standby: Option<&'a VmRecord>,
 }
 
-/// The aggregators of every region, worked out from one view of the fleet.
+/// The aggregators of every region, computed from one view of the fleet.
 #[derive(Clone, Debug)]
 pub struct FleetLevels<'a> {
     regions: BTreeMap<&'a RegionName, Vec<&'a VmRecord>>,
@@ -57,9 +57,9 @@
 }
 
 impl Roster {
-    /// The VMs that may have duties: alive and not stopping, this one included; with
-    /// the order of each for the duty of an aggregator.
-    fn staying(&self) -> impl Iterator<Item = (u64, &VmRecord)> {
+    /// VMs that may have duties: those alive and not shutting down, this one included. Each
+    /// comes with its hash rank for the duty of an aggregator.
+    fn eligible_vms(&self) -> impl Iterator<Item = (u64, &VmRecord)> {
         let own = (!self.own().status.is_leaving).then_some((self.own_order(), self.own()));
         self.others()
             .filter(|vm| vm.is_staying())
@@ -67,9 +67,9 @@
             .chain(own)
     }
 
-    /// Works out the aggregators of every region.
+    /// Computes the aggregators of every region.
     pub fn levels(&self) -> FleetLevels<'_> {
-        let mut vms: Vec<(u64, &VmRecord)> = self.staying().collect();
+        let mut vms: Vec<(u64, &VmRecord)> = self.eligible_vms().collect();
         vms.sort_unstable_by(|(a_order, a), (b_order, b)| {
             let place = (&a.region, &a.center).cmp(&(&b.region, &b.center));
             let rank = (b.capacity, b_order).cmp(&(a.capacity, a_order));
@@ -82,8 +82,8 @@
         }
     }
 
-    /// The aggregators that this VM reports to; none if there are none of its data
-    /// centre.
+    /// The aggregators that this VM reports to; none if its data centre has no other
+    /// aggregator.
     pub(crate) fn member_aggregators<'a>(
         &self,
         levels: &FleetLevels<'a>,
@@ -104,23 +104,23 @@
         })
     }
 
-    /// Aggregators of other regions that this one, an aggregator, tells of its region.
-    pub(crate) fn far_listeners<'a>(&self, levels: &FleetLevels<'a>) -> Vec<&'a VmRecord> {
+    /// Aggregators of other regions to which this VM, an aggregator, sends the VMs of its
+    /// region.
+    pub(crate) fn remote_receivers<'a>(&self, levels: &FleetLevels<'a>) -> Vec<&'a VmRecord> {
         let own = self.own();
-        let tellers = levels.region(&own.region);
-        let count = ALL_FAR_TELLERS / levels.regions.len().max(1);
-        let count = count.clamp(*FAR_TELLERS.start(), *FAR_TELLERS.end());
+        let sources = levels.region(&own.region);
+        let count = TARGET_REMOTE_SOURCES / levels.regions.len().max(1);
+        let count = count.clamp(*REMOTE_SOURCES.start(), *REMOTE_SOURCES.end());
         levels
             .regions()
             .filter(|(region, _)| **region != own.region)
-            .flat_map(|(_, listeners)| listeners)
+            .flat_map(|(_, receivers)| receivers)
             .copied()
-            .filter(|listener| tells(tellers, own, listener, count))
+            .filter(|receiver| sends_to(sources, own, receiver, count))
             .collect()
     }
 
-    /// The VMs of `tier` in the order in which they hold a duty: by hashing, one of
-    /// each data centre first.
+    /// Ranks the VMs of `tier` for a duty by hash, with one VM of each data centre first.
     pub fn duty_order<'a>(&self, duty: &str, tier: &[&'a VmRecord]) -> Vec<&'a VmName> {
         let order = |vm: &VmRecord| Reverse(stable_hash(&[duty, vm.name.as_str()]));
         let mut ranked: Vec<&VmRecord> = tier.to_vec();
@@ -140,9 +140,9 @@
         first
     }
 
-    /// VMs of another region to which this VM passes requests: those that rank first
-    /// for it among the ready ones, so that all VMs spread over all and connections
-    /// are used again.
+    /// VMs of another region to which this VM forwards requests: the first `count` ready
+    /// ones by a hash that includes this VM's name. This spreads the senders over all
+    /// targets and lets each sender reuse its connections.
     pub fn relay_targets(&self, region: &RegionName, count: usize) -> Vec<&VmRecord> {
         let own = self.own();
         let mut ranked: Vec<&VmRecord> = self
@@ -158,7 +158,8 @@
     }
 }
 
-/// The aggregators of a region: its VMs by data centre, the first of each first.
+/// Selects the aggregators of a region from its VMs, which are grouped by data centre and
+/// ranked within each.
 fn aggregators<'a>(vms: &[(u64, &'a VmRecord)]) -> Vec<&'a VmRecord> {
     if vms.len() <= MESH_VMS {
         return vms.iter().map(|(_, vm)| *vm).collect();
@@ -172,18 +173,19 @@
         .collect()
 }
 
-/// Order of a VM for the duty of an aggregator among those as large as it.
+/// Hash rank of a VM for the duty of an aggregator among VMs of equal capacity.
 pub(crate) fn aggregator_order(name: &VmName) -> u64 {
     stable_hash(&["aggregate", name.as_str()])
 }
 
-/// Whether `own` is among the first `count` of its region's aggregators for `listener`.
-fn tells(tellers: &[&VmRecord], own: &VmRecord, listener: &VmRecord, count: usize) -> bool {
-    let order = |vm: &VmRecord| stable_hash(&["tell", listener.name.as_str(), vm.name.as_str()]);
-    let mine = order(own);
-    let before = tellers
+/// Whether `own` is among the first `count` of its region's aggregators that send to
+/// `receiver`.
+fn sends_to(sources: &[&VmRecord], own: &VmRecord, receiver: &VmRecord, count: usize) -> bool {
+    let order = |vm: &VmRecord| stable_hash(&["tell", receiver.name.as_str(), vm.name.as_str()]);
+    let own_order = order(own);
+    let higher_ranked = sources
         .iter()
-        .filter(|vm| vm.name != own.name && order(vm) > mine)
+        .filter(|vm| vm.name != own.name && order(vm) > own_order)
         .count();
-    before < count
+    higher_ranked < count
 }
--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -1,18 +1,19 @@
-//! The overlay network between VMs: who tells whom what, as pure code.
+//! The overlay network between VMs: which VM sends which state to which other VM.
 //!
 //! A full mesh costs each VM messages, connections and work that grow with the
 //! fleet. Here a few VMs of each data centre are *aggregators*: the others report to
-//! two of them and get back one digest of everybody's news. Aggregators of a region
-//! tell each other the sum of what was reported to them, and aggregators of different
-//! regions tell each other which VMs live. A region of few VMs is a mesh of
+//! two of them and receive one digest of the state of all VMs. Aggregators of a region
+//! exchange the sums of the reports that they received, and aggregators of different
+//! regions exchange which VMs are alive. A region of few VMs is a full mesh of
 //! aggregators without members.
 //!
-//! Nothing is agreed: every VM works out the aggregators from the VMs that it sees
-//! ([`Roster`]), largest first. Two views that differ for a moment cost bytes or age.
-//! No I/O and no clock in here; the gateway carries frames between [`OverlayNode`]s.
+//! There is no consensus: every VM computes the aggregators from the VMs that it sees
+//! ([`Roster`]), largest first. Views that differ temporarily only cost bytes or delay.
+//! This crate does no I/O and reads no clock; the gateway carries frames between
+//! [`OverlayNode`]s.
 //!
-//! Invariants: what a VM is told of others never comes back as its own word
-//! ([`Evidence`]); work is counted at one aggregator only ([`WorkTotals`]).
+//! Invariants: a VM never forwards second-hand liveness as its own observation
+//! ([`Evidence`]); the work of a VM is counted at one aggregator only ([`WorkTotals`]).
 
 mod evidence;
 mod levels;
@@ -21,7 +22,7 @@
 mod record;
 mod roster;
 mod totals;
-mod word;
+mod update;
 
 pub use evidence::{Evidence, UpdateScope};
 pub use levels::{FleetLevels, GROUP_VMS, MESH_VMS};
@@ -32,4 +33,4 @@
 pub use totals::{
     ReceivedWork, ServerTag, WorkCursor, WorkEntry, WorkOrigin, WorkTotals, WorkUpdate, WorkView,
 };
-pub use word::{RosterCursor, RosterUpdate};
+pub use update::{RosterCursor, RosterUpdate};
--- a/crates/overlay/src/node.rs
+++ b/crates/overlay/src/node.rs
@@ -1,4 +1,4 @@
-//! One VM's end of the overlay: what it tells on each link, and what it takes.
+//! One VM's end of the overlay: builds the updates for each link and applies received ones.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,30 +11,30 @@
 use crate::record::{RecordVersion, VmRecord};
 use crate::roster::{Roster, RosterTiming};
 use crate::totals::{ReceivedWork, WorkCursor, WorkOrigin, WorkTotals, WorkUpdate, WorkView};
-use crate::word::{RosterCursor, RosterUpdate};
+use crate::update::{RosterCursor, RosterUpdate};
 
-/// Time in which a new aggregator's sums may lack members: three reports of each.
-const WARM_AFTER: Duration = Duration::from_millis(300);
-/// Time between two choices of silent VMs to look for.
-const SEARCH_TURN: Duration = Duration::from_millis(700);
+/// Time during which the sums of a new aggregator may lack members: three report intervals.
+const WARMUP_TIME: Duration = Duration::from_millis(300);
+/// Interval after which other unresponsive VMs are selected for probing.
+const SEARCH_INTERVAL: Duration = Duration::from_millis(700);
 
 /// One message between two VMs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OverlayUpdate {
-    /// What the sender is to the receiver.
+    /// Relation of the sender to the receiver.
     pub relation: LinkRelation,
-    /// What the sender says of itself, if that is news on the link.
+    /// Record of the sender, if it has changed since it was last sent on the link.
     pub record: Option<VmRecord>,
-    /// Which VMs live, if that is news on the link.
+    /// Which VMs are alive, if that has changed since the last update on the link.
     pub word: Option<RosterUpdate>,
-    /// Work at servers, if this relation tells it.
+    /// Work at servers, if messages of this relation carry it.
     pub work: Option<WorkUpdate>,
-    /// Whether the sums are those of all members; false for a while where the sender
-    /// has just become an aggregator.
+    /// Whether the sums cover all members; false for a while after the sender has become an
+    /// aggregator.
     pub is_warm: bool,
 }
 
-/// What was told in one direction of one link.
+/// State already sent in one direction of one link.
 #[derive(Clone, Debug, Default)]
 pub struct LinkState {
     relation: Option<LinkRelation>,
@@ -49,17 +49,18 @@
     roster: Roster,
     totals: WorkTotals,
     seeds: Vec<SocketAddr>,
-    /// The plan, and the roster's changes and the turn that it was worked out from.
+    /// Current link plan.
     plan: LinkPlan,
+    /// Change counter of the roster and probing turn from which `plan` was computed.
     planned: Option<(u64, usize)>,
-    /// When the first report came to this VM since it has had none.
+    /// When the first report arrived after a time without members.
     reported_since: Option<Moment>,
-    /// Since when this VM takes itself for an aggregator.
+    /// When this VM became an aggregator in its own view, if it is one.
     aggregates_since: Option<Moment>,
 }
 
 impl OverlayNode {
-    /// A VM that knows nobody but addresses to begin with.
+    /// Creates a node that knows no other VMs, only the seed addresses.
     pub fn new(own: VmRecord, timing: RosterTiming, seeds: Vec<SocketAddr>) -> Self {
         Self {
             roster: Roster::new(own, timing),
@@ -72,35 +73,35 @@
         }
     }
 
-    /// The VMs that are known.
+    /// The known VMs.
     pub fn roster(&self) -> &Roster {
         &self.roster
     }
 
-    /// The VMs that are known, to change what this one says of itself.
+    /// The known VMs, mutable for changing this VM's own record.
     pub fn roster_mut(&mut self) -> &mut Roster {
         &mut self.roster
     }
 
-    /// Work at servers.
+    /// The work at servers.
     pub fn totals(&self) -> &WorkTotals {
         &self.totals
     }
 
-    /// Work at servers, to set this VM's own.
+    /// The work at servers, mutable for setting this VM's own work.
     pub fn totals_mut(&mut self) -> &mut WorkTotals {
         &mut self.totals
     }
 
-    /// Sets the addresses to begin with.
+    /// Sets the seed addresses.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
         self.planned = None;
     }
 
-    /// The links that this VM is to keep.
+    /// The links that this VM should keep open.
     pub fn plan(&mut self, now: Moment) -> &LinkPlan {
-        let turns = u128::from(now.as_micros()) / SEARCH_TURN.as_micros();
+        let turns = u128::from(now.as_micros()) / SEARCH_INTERVAL.as_micros();
         let turn = usize::try_from(turns).unwrap_or_default();
         let basis = (self.roster.changes(), turn);
         if self.planned != Some(basis) {
@@ -114,8 +115,7 @@
         &self.plan
     }
 
-    /// What to tell now on a link to `peer`, which need not be known where it is not
-    /// answered.
+    /// Builds the message that is due on a link. `peer` is required for digests only.
     pub fn tell(
         &mut self,
         now: Moment,
@@ -128,51 +128,51 @@
             link.work = WorkCursor::default();
         }
         let own = self.roster.own();
-        let is_told = link.record == Some(own.version);
+        let is_sent = link.record == Some(own.version);
         link.record = Some(own.version);
-        let record = (!is_told).then(|| own.clone());
+        let record = (!is_sent).then(|| own.clone());
         OverlayUpdate {
             relation,
             record,
-            word: self.word(relation, link),
+            word: self.roster_update(relation, link),
             work: work_view(relation, peer).map(|view| self.totals.tell(view, &mut link.work)),
             is_warm: self.is_warm(now),
         }
     }
 
-    /// Whether there is work to tell in a relation that was not told on a link.
+    /// Whether a relation has changes of work that were not yet sent on a link.
     pub fn has_changes(&self, relation: LinkRelation, link: &LinkState) -> bool {
         match relation {
-            LinkRelation::Report => self.totals.has_own_news(link.work),
+            LinkRelation::Report => self.totals.has_own_changes(link.work),
             LinkRelation::Digest => self.totals.has_changes(link.work),
             _ => true,
         }
     }
 
-    fn word(&self, relation: LinkRelation, link: &mut LinkState) -> Option<RosterUpdate> {
+    fn roster_update(&self, relation: LinkRelation, link: &mut LinkState) -> Option<RosterUpdate> {
         match relation.scope()? {
-            UpdateScope::Hint => self.roster.tell_aggregators(&mut link.word),
-            scope => self.roster.tell(scope, &mut link.word),
+            UpdateScope::Hint => self.roster.update_aggregators(&mut link.word),
+            scope => self.roster.update_scope(scope, &mut link.word),
         }
     }
 
-    /// Takes a message.
+    /// Applies a received message.
     pub fn take(&mut self, now: Moment, from: &VmName, update: &OverlayUpdate) -> ReceivedWork {
         match &update.record {
             Some(record) if record.name == *from => self.roster.hear(now, record),
-            _ => self.roster.hear_again(now, from),
+            _ => self.roster.renew(now, from),
         }
         let is_known = match (&update.word, update.relation.scope()) {
-            (Some(word), _) => self.roster.take_word(now, from, word),
-            (None, Some(scope)) => self.roster.hear_word_again(now, from, scope),
+            (Some(word), _) => self.roster.apply_update(now, from, word),
+            (None, Some(scope)) => self.roster.renew_update(now, from, scope),
             (None, None) => true,
         };
-        let mut taken = self.take_work(now, from, update);
-        taken.is_cut |= !is_known;
-        taken
+        let mut received = self.apply_work(now, from, update);
+        received.is_cut |= !is_known;
+        received
     }
 
-    fn take_work(&mut self, now: Moment, from: &VmName, update: &OverlayUpdate) -> ReceivedWork {
+    fn apply_work(&mut self, now: Moment, from: &VmName, update: &OverlayUpdate) -> ReceivedWork {
         let none = WorkUpdate::default();
         let work = update.work.as_ref().unwrap_or(&none);
         match update.relation {
@@ -185,8 +185,8 @@
                 self.totals.remove(from, WorkOrigin::Member);
                 self.totals.take(now, from, WorkOrigin::Partial, work)
             }
-            LinkRelation::Digest => self.totals.take_digest(now, from, update.is_warm, work),
-            // A member that reports to another aggregator now is counted there.
+            LinkRelation::Digest => self.totals.apply_digest(now, from, update.is_warm, work),
+            // The member now reports to another aggregator, which counts its work.
             LinkRelation::Standby => {
                 self.totals.remove(from, WorkOrigin::Member);
                 self.totals.remove(from, WorkOrigin::Partial);
@@ -199,13 +199,13 @@
         }
     }
 
-    /// What this VM answers with to a message; none if it was only told.
+    /// Relation of the response to a message; none if the message has no response.
     pub fn answer(&self, from: &VmName, relation: LinkRelation) -> Option<LinkRelation> {
         match relation {
             LinkRelation::Report => Some(LinkRelation::Digest),
             LinkRelation::Standby => Some(LinkRelation::StandbyDigest),
             LinkRelation::Seek => Some(LinkRelation::Referral),
-            // The sender takes itself for an aggregator since it knows too few VMs.
+            // The sender acts as an aggregator only because it knows too few VMs.
             LinkRelation::Partial if !self.plan.near_aggregators.contains(from) => {
                 Some(LinkRelation::StandbyDigest)
             }
@@ -217,11 +217,11 @@
         }
     }
 
-    /// Notes that another VM has closed a link on which it last told `relation`: its
-    /// words there no longer stand.
+    /// Records that another VM closed a link on which it last sent `relation`. The updates
+    /// that it sent in that relation no longer count.
     pub fn end_link(&mut self, now: Moment, from: &VmName, relation: LinkRelation) {
         if let Some(scope) = relation.scope() {
-            self.roster.drop_word(now, from, scope);
+            self.roster.drop_update(now, from, scope);
         }
         match relation {
             LinkRelation::Report => self.totals.remove(from, WorkOrigin::Member),
@@ -230,12 +230,12 @@
         }
     }
 
-    /// Lets time count.
+    /// Expires state that has become too old.
     pub fn tick(&mut self, now: Moment) {
         self.totals.expire(now);
         let since = self.aggregates_since;
-        if since.is_some_and(|since| now - since >= WARM_AFTER) {
-            self.totals.drop_digests();
+        if since.is_some_and(|since| now - since >= WARMUP_TIME) {
+            self.totals.exclude_digests();
         }
         if self.totals.members().next().is_none() {
             self.reported_since = None;
@@ -245,11 +245,11 @@
 
     fn is_warm(&self, now: Moment) -> bool {
         self.reported_since
-            .is_some_and(|since| now - since >= WARM_AFTER)
+            .is_some_and(|since| now - since >= WARMUP_TIME)
     }
 }
 
-/// The sum that a relation tells, if any.
+/// The sum of work that messages of a relation carry, if any.
 fn work_view(relation: LinkRelation, peer: Option<&VmName>) -> Option<WorkView<'_>> {
     match relation {
         LinkRelation::Report => Some(WorkView::Own),
--- a/crates/overlay/src/plan.rs
+++ b/crates/overlay/src/plan.rs
@@ -1,4 +1,4 @@
-//! The links that a VM dials, and what each is for.
+//! Computes the links that a VM dials and the purpose of each.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,53 +10,54 @@
 use crate::record::VmRecord;
 use crate::roster::Roster;
 
-/// Time between two reports of a member. Work under way lasts some tenths of a second,
-/// and a figure that steers requests should be younger: worth of three days with a rush
-/// at 68 VMs was 0.577 with 100 ms (and 60 between aggregators), 0.589 with 60 (and 45).
+/// Interval between reports of a member. Requests last some tenths of a second, and load
+/// figures used for routing should be younger. In a simulation of three days with a rush at
+/// 68 VMs the value was 0.577 with 100 ms (60 ms between aggregators) and 0.589 with 60 ms
+/// (45 ms between aggregators).
 const REPORT_INTERVAL: Duration = Duration::from_millis(60);
-/// The same where an aggregator has many members, and how many reports a second each
-/// aggregator takes before: at 300 VMs 60 ms would bring the busiest VM 1,258 frames a
-/// second (test `region`).
+/// Longest report interval, used where an aggregator has many members. The interval grows
+/// above [`REPORTS_PER_SECOND`] per aggregator: at 300 VMs, 60 ms would cost the busiest VM
+/// 1,258 frames a second (test `region`).
 const LONGEST_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 const REPORTS_PER_SECOND: f64 = 250.0;
-/// Sums that an aggregator tells its members each second, and the longest time between two
-/// that it tells one of them.
+/// Digests that an aggregator sends its members per second, and the longest interval between
+/// two digests to one member.
 const DIGESTS_PER_SECOND: f64 = 90.0;
 const LONGEST_DIGEST_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two signs of life, where nothing urgent is told: three are sent before
-/// a VM is taken for silent.
-const LIFE_INTERVAL: Duration = Duration::from_millis(400);
-/// Least time between two sums that aggregators tell each other. Eight VMs that heard
-/// each other each 60, 150 and 400 ms brought a mean worth of 0.680, 0.676 and 0.668.
+/// Interval between liveness signals where no urgent change is pending. Three are sent before
+/// a VM is treated as unresponsive.
+const LIVENESS_INTERVAL: Duration = Duration::from_millis(400);
+/// Minimum interval between partial sums from one aggregator to another. Eight VMs that
+/// exchanged sums every 60, 150 and 400 ms reached a mean value of 0.680, 0.676 and 0.668.
 const PARTIAL_INTERVAL: Duration = Duration::from_millis(45);
-/// Sums that an aggregator tells others each second at most.
+/// Target for the partial sums per second that an aggregator sends in total.
 const PARTIALS_PER_SECOND: f64 = 130.0;
-/// Silent VMs that an aggregator looks for at the same time.
-const PROBES: usize = 2;
+/// Maximum unresponsive VMs that an aggregator probes at the same time.
+const MAX_PROBES: usize = 2;
 
-/// What one end of a link is to the other in a message.
+/// Role of the sender of a message relative to its receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LinkRelation {
-    /// A member to the aggregator that counts its work.
+    /// From a member to the aggregator that counts its work.
     Report,
-    /// A member to the aggregator that would take over.
+    /// From a member to its standby aggregator.
     Standby,
-    /// A VM that looks for others.
+    /// From a VM that searches for others.
     Seek,
-    /// An aggregator to another one of its region.
+    /// From an aggregator to another one of its region.
     Partial,
-    /// An aggregator to one of another region.
+    /// From an aggregator to one of another region.
     Region,
-    /// Answer to a report.
+    /// Response to a report.
     Digest,
-    /// Answer to a standby's sign of life.
+    /// Response to a [`Self::Standby`] liveness signal.
     StandbyDigest,
-    /// Answer to a VM that looks for others: where the aggregators are.
+    /// Response to [`Self::Seek`] with the aggregators of every region.
     Referral,
 }
 
 impl LinkRelation {
-    /// Every relation, by its number in messages.
+    /// Every relation, in the order of the numbers in messages.
     pub const ALL: [Self; 8] = [
         Self::Report,
         Self::Standby,
@@ -68,7 +69,7 @@
         Self::Referral,
     ];
 
-    /// Its number in messages.
+    /// Number of the relation in messages.
     ///
     /// ```
     /// use onyxfall_overlay::LinkRelation;
@@ -81,13 +82,13 @@
         self as u32
     }
 
-    /// The relation of a number in a message; none if it is of a later version.
+    /// Relation for a number in a message; none for numbers of later versions.
     pub fn from_number(number: u32) -> Option<Self> {
         let index = usize::try_from(number).ok()?;
         Self::ALL.get(index).copied()
     }
 
-    /// Scope of the word that its messages carry, if any.
+    /// Scope of the roster updates in messages of this relation, if they carry any.
     pub const fn scope(self) -> Option<UpdateScope> {
         match self {
             Self::Report | Self::Standby | Self::Seek => None,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Word for logs.
+    /// Name of the relation for logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Report => "report",
@@ -113,14 +114,14 @@
     }
 }
 
-/// A link that there is to be.
+/// A link that this VM should keep open.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedLink {
     /// The VM at the other end; none if only its address is known.
     pub vm: Option<VmName>,
-    /// Where it takes links.
+    /// Peer address of the VM.
     pub address: SocketAddr,
-    /// What this VM is to it.
+    /// Relation of this VM to the other end.
     pub relation: LinkRelation,
 }
 
@@ -129,27 +130,27 @@
 pub struct LinkPlan {
     /// The aggregators of this region.
     pub near_aggregators: BTreeSet<VmName>,
-    /// The links.
+    /// Links to keep open.
     pub links: Vec<PlannedLink>,
-    /// Living VMs of this region.
+    /// Number of VMs alive in this region, this one included.
     region_vms: usize,
 }
 
 impl LinkPlan {
-    /// The link to an address.
+    /// The planned link to an address.
     pub fn at(&self, address: SocketAddr) -> Option<&PlannedLink> {
         self.links.iter().find(|link| link.address == address)
     }
 
-    /// Time between two messages of a relation. Where `is_dense` is false, as there is no
-    /// news, only signs of life are due.
+    /// Interval between messages of a relation. If `is_dense` is false because nothing has
+    /// changed, only liveness signals are due.
     pub fn interval(&self, relation: LinkRelation, is_dense: bool) -> Duration {
         match relation {
             LinkRelation::Seek => LONGEST_REPORT_INTERVAL,
             LinkRelation::Report if is_dense => self.report_interval(),
             LinkRelation::Partial if is_dense => self.partial_interval(),
             LinkRelation::Digest if is_dense => self.digest_interval(),
-            _ => LIFE_INTERVAL,
+            _ => LIVENESS_INTERVAL,
         }
     }
 
@@ -158,12 +159,12 @@
         shared.clamp(REPORT_INTERVAL, LONGEST_REPORT_INTERVAL)
     }
 
-    /// VMs of the region to one of its aggregators.
+    /// Mean number of VMs per aggregator of the region.
     fn group_vms(&self) -> f64 {
         self.region_vms as f64 / self.near_aggregators.len().max(1) as f64
     }
 
-    /// Time between two sums that an aggregator tells a member.
+    /// Interval between digests from an aggregator to one member.
     fn digest_interval(&self) -> Duration {
         let shared = Duration::from_secs_f64(self.group_vms() / DIGESTS_PER_SECOND);
         shared.clamp(REPORT_INTERVAL, LONGEST_DIGEST_INTERVAL)
@@ -175,11 +176,11 @@
             .iter()
             .filter(|link| link.relation == LinkRelation::Partial);
         let shared = Duration::from_secs_f64(partials.count() as f64 / PARTIALS_PER_SECOND);
-        shared.clamp(PARTIAL_INTERVAL, LIFE_INTERVAL)
+        shared.clamp(PARTIAL_INTERVAL, LIVENESS_INTERVAL)
     }
 
-    /// How old other VMs' work is in the mean when it is known here: half an interval
-    /// for each message on its way.
+    /// Mean age of other VMs' work as known here: half an interval for each message on the
+    /// path.
     pub fn knowledge_age(&self) -> Duration {
         let partial = self.partial_interval();
         let hops = match self.primary() {
@@ -189,13 +190,13 @@
         hops / 2
     }
 
-    /// The VM that counts this VM's work, if it is a member.
+    /// The aggregator that counts this VM's work, if this VM is a member.
     pub fn primary(&self) -> Option<&VmName> {
         let report = |link: &&PlannedLink| link.relation == LinkRelation::Report;
         self.links.iter().find(report)?.vm.as_ref()
     }
 
-    /// The VMs that answer this one.
+    /// Aggregators that are expected to respond to this VM.
     pub(crate) fn answering(&self) -> impl Iterator<Item = &VmName> {
         self.links
             .iter()
@@ -213,8 +214,8 @@
 }
 
 impl Roster {
-    /// Works out the links of this VM. `seeds` are addresses of the settings, and
-    /// `turn` chooses among silent VMs that are looked for.
+    /// Computes the links of this VM. `seeds` are addresses of the settings, and `turn`
+    /// selects which unresponsive VMs are probed.
     pub(crate) fn plan(&self, seeds: &[SocketAddr], turn: usize) -> LinkPlan {
         let levels = self.levels();
         let own = self.own();
@@ -227,7 +228,7 @@
             region_vms,
         };
         if !plan.near_aggregators.contains(&own.name) {
-            // A VM that leaves reports on, so that everybody learns of it.
+            // A VM that is shutting down keeps reporting, so that all VMs receive its status.
             if let Some(aggregators) = self.member_aggregators(&levels) {
                 plan.add(aggregators.primary, LinkRelation::Report);
                 if let Some(standby) = aggregators.standby {
@@ -239,14 +240,14 @@
         for vm in near.iter().filter(|vm| vm.name != own.name) {
             plan.add(vm, LinkRelation::Partial);
         }
-        for vm in self.far_listeners(&levels) {
+        for vm in self.remote_receivers(&levels) {
             plan.add(vm, LinkRelation::Region);
         }
         self.plan_search(&mut plan, seeds, turn);
         plan
     }
 
-    /// Links to VMs that may live although nobody names them.
+    /// Adds links to VMs that may be alive although no update lists them.
     fn plan_search(&self, plan: &mut LinkPlan, seeds: &[SocketAddr], turn: usize) {
         let alive: BTreeSet<SocketAddr> = self
             .others()
@@ -258,15 +259,15 @@
             .iter()
             .copied()
             .filter(|seed| *seed != own && !alive.contains(seed));
-        let silent: Vec<SocketAddr> = self
+        let unresponsive: Vec<SocketAddr> = self
             .others()
             .filter(|vm| !vm.is_alive())
             .map(|vm| vm.record.peer_address)
             .filter(|address| !alive.contains(address))
             .collect();
-        let first = turn.checked_rem(silent.len()).unwrap_or(0);
-        let probes = silent.iter().cycle().skip(first).copied();
-        for address in lost_seeds.chain(probes.take(PROBES.min(silent.len()))) {
+        let first = turn.checked_rem(unresponsive.len()).unwrap_or(0);
+        let probes = unresponsive.iter().cycle().skip(first).copied();
+        for address in lost_seeds.chain(probes.take(MAX_PROBES.min(unresponsive.len()))) {
             if plan.at(address).is_none() {
                 plan.links.push(PlannedLink {
                     vm: None,
--- a/crates/overlay/src/record.rs
+++ b/crates/overlay/src/record.rs
@@ -1,7 +1,7 @@
-//! What a VM says of itself.
+//! The record that a VM publishes about itself.
 //!
-//! Invariant: only the VM itself makes a new version of its record, so that the newer
-//! of two records is the right one, whatever way they came.
+//! Invariant: only the VM itself makes a new version of its record, so the newer
+//! of two records is correct regardless of the path by which they arrived.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use onyxfall_types::{CenterName, Incarnation, RegionName, VmName};
 use thiserror::Error;
 
-/// Processor of a VM in thousandths of a core, by which duties are given.
+/// Processor capacity of a VM in thousandths of a core. Larger VMs become aggregators first.
 ///
 /// ```
 /// use onyxfall_overlay::VmCapacity;
@@ -21,18 +21,18 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct VmCapacity(u32);
 
-/// A text that is no capacity.
+/// Error for a text that does not parse as a capacity.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{0}` is not a capacity: expected cores, such as 0.25")]
 pub struct CapacityError(String);
 
 impl VmCapacity {
-    /// A capacity of so many thousandths of a core.
+    /// Creates a capacity from thousandths of a core.
     pub const fn from_millicores(millicores: u32) -> Self {
         Self(millicores)
     }
 
-    /// Thousandths of a core.
+    /// The capacity in thousandths of a core.
     pub const fn millicores(self) -> u32 {
         self.0
     }
@@ -59,43 +59,43 @@
     }
 }
 
-/// What changes in the life of a VM.
+/// Status of a VM that changes while its process runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VmStatus {
-    /// Callers may be sent to it.
+    /// Whether the VM accepts requests of callers.
     pub is_ready: bool,
-    /// It is stopping by plan.
+    /// Whether the VM is shutting down as planned.
     pub is_leaving: bool,
-    /// It watches the store and reaches it.
+    /// Whether the VM watches the store and can reach it.
     pub watches_store: bool,
 }
 
-/// Order of the records of one VM.
+/// Version that orders the records of one VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RecordVersion {
-    /// The VM's life.
+    /// Incarnation of the VM process.
     pub incarnation: Incarnation,
-    /// Changes within that life.
+    /// Number of changes within that incarnation.
     pub change: u32,
 }
 
-/// A VM as it describes itself.
+/// Description that a VM publishes of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VmRecord {
-    /// Its name.
+    /// Name of the VM.
     pub name: VmName,
-    /// Its data centre.
+    /// Data centre of the VM.
     pub center: CenterName,
-    /// Its region.
+    /// Region of the VM.
     pub region: RegionName,
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Where other VMs reach it.
+    /// Address for other VMs.
     pub peer_address: SocketAddr,
-    /// Its processor.
+    /// Processor capacity.
     pub capacity: VmCapacity,
     /// Version of this record.
     pub version: RecordVersion,
-    /// What changes in its life.
+    /// Current status.
     pub status: VmStatus,
 }
--- a/crates/overlay/src/roster.rs
+++ b/crates/overlay/src/roster.rs
@@ -1,10 +1,10 @@
-//! Every VM of the fleet as this VM knows it.
+//! This VM's view of every VM of the fleet.
 //!
-//! Records come by any way and the newest version stands. Whether a VM lives is a
-//! matter of evidence: it is heard here, or an aggregator names it in a word that is
-//! still fresh (see [`Evidence`]).
+//! Records may arrive by any path; the newest version is kept. A VM counts as alive on
+//! evidence: messages from it arrive here, or a recent update of an aggregator lists it
+//! (see [`Evidence`]).
 //!
-//! Invariant: of one VM, an older record never replaces a newer one.
+//! Invariant: an older record of a VM never replaces a newer one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,43 +15,44 @@
 use crate::evidence::{Evidence, UpdateScope};
 use crate::levels::aggregator_order;
 use crate::record::{VmRecord, VmStatus};
-use crate::word::RosterUpdate;
+use crate::update::RosterUpdate;
 
-/// When silence counts.
+/// Timeouts of the roster.
 #[derive(Clone, Copy, Debug)]
 pub struct RosterTiming {
-    /// Silence after which a VM is not taken for alive, and an aggregator's word counts
-    /// no longer.
+    /// Time without messages after which a VM no longer counts as alive, and after which an
+    /// aggregator's update expires.
     pub unresponsive_after: Duration,
-    /// Age up to which an aggregator's word on the whole fleet counts: longer, so that
-    /// its members still know each other when it has died, and find the next one.
+    /// Time after which an aggregator's update on the whole fleet expires. It is longer than
+    /// `unresponsive_after` so that the members of a dead aggregator still know each other
+    /// and find the next one.
     pub fleet_update_lifetime: Duration,
-    /// Silence after which a VM is forgotten. Until then it counts where limits are
-    /// shared, and is looked for.
+    /// Time without evidence after which a VM is evicted. Until then it counts where limits
+    /// are shared, and is probed.
     pub forget_after: Duration,
 }
 
-/// A VM as known here.
+/// Local view of another VM.
 #[derive(Clone, Debug)]
 pub struct KnownVm {
-    /// What it says of itself.
+    /// Newest record of the VM.
     pub record: VmRecord,
-    /// Best evidence that it lives.
+    /// Best evidence that the VM is alive.
     pub evidence: Evidence,
-    /// When this VM last heard it itself.
-    heard: Option<Moment>,
-    /// Since when this VM expects to hear it, as an aggregator that it reports to.
+    /// When this VM last received a message from it.
+    received: Option<Moment>,
+    /// Since when this VM expects messages from it, as an aggregator that it reports to.
     expected: Option<Moment>,
-    /// When it failed to be heard as expected; earlier words on it do not count.
-    muted: Option<Moment>,
-    /// Last moment with any evidence.
-    seen: Moment,
-    /// Its order for the duty of an aggregator.
+    /// When expected messages were last missing; earlier updates that list it do not count.
+    missed: Option<Moment>,
+    /// Last moment at which there was any evidence.
+    last_evidence: Moment,
+    /// Hash rank for the duty of an aggregator.
     order: u64,
 }
 
 impl KnownVm {
-    /// Whether it lives, as far as known.
+    /// Whether there is any evidence that the VM is alive.
     pub fn is_alive(&self) -> bool {
         self.evidence > Evidence::None
     }
@@ -60,63 +61,63 @@
         self.order
     }
 
-    /// Whether it lives and is not stopping.
+    /// Whether the VM is alive and not shutting down.
     pub fn is_staying(&self) -> bool {
         self.is_alive() && !self.record.status.is_leaving
     }
 }
 
-/// A word of another VM that counts while it is fresh.
+/// State of the roster updates of one scope from another VM; it counts until it expires.
 #[derive(Clone, Debug)]
-struct HeardWord {
-    heard: Moment,
-    /// Whether it counted when this was last looked at.
+struct ReceivedUpdate {
+    received: Moment,
+    /// Whether the update was fresh at the last check.
     was_fresh: bool,
-    /// Whether this VM no longer reports to the one that told it.
-    is_ended: bool,
+    /// Whether this VM no longer reports to the sender.
+    is_former: bool,
     names: BTreeSet<VmName>,
 }
 
-impl HeardWord {
-    /// Whether it counts.
+impl ReceivedUpdate {
+    /// Whether the update has not expired.
     fn is_fresh(&self, now: Moment, scope: UpdateScope, timing: RosterTiming) -> bool {
-        let life = match scope {
-            UpdateScope::Fleet if !self.is_ended => timing.fleet_update_lifetime,
+        let lifetime = match scope {
+            UpdateScope::Fleet if !self.is_former => timing.fleet_update_lifetime,
             _ => timing.unresponsive_after,
         };
-        now - self.heard < life
+        now - self.received < lifetime
     }
 }
 
-/// The VMs of the fleet.
+/// Known VMs of the fleet and the evidence for each.
 #[derive(Clone, Debug)]
 pub struct Roster {
     own: VmRecord,
     own_order: u64,
     timing: RosterTiming,
     vms: BTreeMap<VmName, KnownVm>,
-    words: BTreeMap<(VmName, UpdateScope), HeardWord>,
-    /// Grows with each change of a record or of evidence.
+    updates: BTreeMap<(VmName, UpdateScope), ReceivedUpdate>,
+    /// Counter of changes of records and of evidence.
     changes: u64,
-    /// VMs that have come to life or fallen silent since this was last asked for.
-    news: Vec<VmName>,
+    /// VMs that became alive or unresponsive since the last [`Roster::take_changes`].
+    changed_vms: Vec<VmName>,
 }
 
 impl Roster {
-    /// A roster that knows only this VM.
+    /// Creates a roster that contains only this VM.
     pub fn new(own: VmRecord, timing: RosterTiming) -> Self {
         Self {
             own_order: aggregator_order(&own.name),
             own,
             timing,
             vms: BTreeMap::new(),
-            words: BTreeMap::new(),
+            updates: BTreeMap::new(),
             changes: 1,
-            news: Vec::new(),
+            changed_vms: Vec::new(),
         }
     }
 
-    /// What this VM says of itself.
+    /// This VM's own record.
     pub fn own(&self) -> &VmRecord {
         &self.own
     }
@@ -125,7 +126,7 @@
         self.own_order
     }
 
-    /// Sets what changes in this VM's life; whether it is news.
+    /// Sets this VM's status and returns whether it changed.
     pub fn set_status(&mut self, status: VmStatus) -> bool {
         if self.own.status == status {
             return false;
@@ -136,71 +137,71 @@
         true
     }
 
-    /// Every other VM, by name.
+    /// Every other known VM, ordered by name.
     pub fn others(&self) -> impl Iterator<Item = &KnownVm> {
         self.vms.values()
     }
 
-    /// Another VM by name.
+    /// Looks up another VM by name.
     pub fn get(&self, name: &VmName) -> Option<&KnownVm> {
         self.vms.get(name)
     }
 
-    /// Whether a record is of this VM's region.
+    /// Whether a record belongs to a VM of this VM's region.
     pub fn is_near(&self, record: &VmRecord) -> bool {
         record.region == self.own.region
     }
 
-    /// A number that grows with each change of a record or of evidence.
+    /// Counter that grows with each change of a record or of evidence.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// VMs that have come to life or fallen silent since this was last asked.
+    /// Returns and clears the VMs that became alive or unresponsive since the last call.
     pub fn take_changes(&mut self) -> Vec<VmName> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.changed_vms)
     }
 
-    /// Notes that a VM was heard, and what it says of itself.
+    /// Records a message from a VM that carries its record.
     pub fn hear(&mut self, now: Moment, record: &VmRecord) {
-        self.take_record(now, record);
+        self.apply_record(now, record);
         if let Some(known) = self.vms.get_mut(&record.name) {
-            known.heard = Some(now);
-            self.weigh(now, &record.name);
+            known.received = Some(now);
+            self.update_evidence(now, &record.name);
         }
     }
 
-    /// Notes that a VM which said before who it is was heard once more.
-    pub fn hear_again(&mut self, now: Moment, name: &VmName) {
+    /// Records a message without a record from a VM that sent its record earlier.
+    pub fn renew(&mut self, now: Moment, name: &VmName) {
         if let Some(known) = self.vms.get_mut(name) {
-            known.heard = Some(now);
+            known.received = Some(now);
             if known.evidence < Evidence::Direct {
-                self.weigh(now, name);
+                self.update_evidence(now, name);
             }
         }
     }
 
-    /// Notes that a VM stands by its last word of a scope; false if there is none. Its
-    /// words of other scopes grow old: it may have told them on a link that is gone.
-    pub fn hear_word_again(&mut self, now: Moment, from: &VmName, scope: UpdateScope) -> bool {
-        let Some(word) = self.words.get_mut(&(from.clone(), scope)) else {
+    /// Renews the last update of a VM for a scope; false if there is none. Its updates of
+    /// other scopes keep ageing, since they may have been sent on a link that is closed.
+    pub fn renew_update(&mut self, now: Moment, from: &VmName, scope: UpdateScope) -> bool {
+        let Some(update) = self.updates.get_mut(&(from.clone(), scope)) else {
             return false;
         };
-        let was_fresh = word.is_fresh(now, scope, self.timing);
-        word.heard = now;
-        word.was_fresh = true;
-        word.is_ended = false;
+        let was_fresh = update.is_fresh(now, scope, self.timing);
+        update.received = now;
+        update.was_fresh = true;
+        update.is_former = false;
         if !was_fresh {
-            let names = word.names.clone();
+            let names = update.names.clone();
             for name in &names {
-                self.weigh(now, name);
+                self.update_evidence(now, name);
             }
         }
         true
     }
 
-    /// Sets the VMs that this VM expects to hear: the aggregators that it reports to.
-    /// One that stays silent is dead to this VM, whatever earlier words say.
+    /// Sets the VMs from which this VM expects messages: the aggregators that it reports to.
+    /// One that stays unresponsive is treated as dead whatever earlier updates list.
     pub(crate) fn expect(&mut self, now: Moment, names: &[&VmName]) {
         for (name, vm) in &mut self.vms {
             if names.contains(&name) {
@@ -209,106 +210,107 @@
                 vm.expected = None;
             }
         }
-        for ((teller, scope), word) in &mut self.words {
-            word.is_ended |= *scope == UpdateScope::Fleet && !names.contains(&teller);
+        for ((sender, scope), update) in &mut self.updates {
+            update.is_former |= *scope == UpdateScope::Fleet && !names.contains(&sender);
         }
     }
 
-    /// Takes a word of another VM on who lives; false if it follows one that is not
-    /// known here, so that the whole must be told again.
-    pub fn take_word(&mut self, now: Moment, from: &VmName, word: &RosterUpdate) -> bool {
-        let Some(teller) = self.vms.get(from) else {
+    /// Applies a roster update of another VM. Returns false if the sender is unknown or an
+    /// update that this one builds on is missing, so that a complete one must be sent.
+    pub fn apply_update(&mut self, now: Moment, from: &VmName, update: &RosterUpdate) -> bool {
+        let Some(sender) = self.vms.get(from) else {
             return false;
         };
-        let region = teller.record.region.clone();
-        let is_meant = |record: &VmRecord| !word.scope.is_regional() || record.region == region;
-        let key = (from.clone(), word.scope);
-        if word.is_whole {
-            let none = HeardWord {
-                heard: now,
+        let region = sender.record.region.clone();
+        let is_in_scope =
+            |record: &VmRecord| !update.scope.is_regional() || record.region == region;
+        let key = (from.clone(), update.scope);
+        if update.is_whole {
+            let none = ReceivedUpdate {
+                received: now,
                 was_fresh: true,
-                is_ended: false,
+                is_former: false,
                 names: BTreeSet::new(),
             };
-            self.words.entry(key.clone()).or_insert(none);
-        } else if !self.hear_word_again(now, from, word.scope) {
+            self.updates.entry(key.clone()).or_insert(none);
+        } else if !self.renew_update(now, from, update.scope) {
             return false;
         }
-        let Some(held) = self.words.get_mut(&key) else {
+        let Some(stored) = self.updates.get_mut(&key) else {
             return false;
         };
-        held.heard = now;
-        held.is_ended = false;
-        let mut weighed: BTreeSet<VmName> = word.gone.iter().cloned().collect();
-        if word.is_whole {
-            weighed.append(&mut held.names);
+        stored.received = now;
+        stored.is_former = false;
+        let mut affected: BTreeSet<VmName> = update.gone.iter().cloned().collect();
+        if update.is_whole {
+            affected.append(&mut stored.names);
         }
-        for name in &word.gone {
-            held.names.remove(name);
+        for name in &update.gone {
+            stored.names.remove(name);
         }
-        for record in word.records.iter().filter(|record| is_meant(record)) {
-            held.names.insert(record.name.clone());
-            weighed.insert(record.name.clone());
+        for record in update.records.iter().filter(|record| is_in_scope(record)) {
+            stored.names.insert(record.name.clone());
+            affected.insert(record.name.clone());
         }
-        for record in &word.records {
-            self.take_record(now, record);
+        for record in &update.records {
+            self.apply_record(now, record);
         }
-        for name in weighed {
-            self.weigh(now, &name);
+        for name in affected {
+            self.update_evidence(now, &name);
         }
         true
     }
 
-    /// Forgets a VM's word of a scope.
-    pub fn drop_word(&mut self, now: Moment, from: &VmName, scope: UpdateScope) {
-        if let Some(word) = self.words.remove(&(from.clone(), scope)) {
-            for name in &word.names {
-                self.weigh(now, name);
+    /// Drops the updates of a VM for a scope.
+    pub fn drop_update(&mut self, now: Moment, from: &VmName, scope: UpdateScope) {
+        if let Some(update) = self.updates.remove(&(from.clone(), scope)) {
+            for name in &update.names {
+                self.update_evidence(now, name);
             }
         }
     }
 
-    /// Lets silence count. Looks only at VMs whose evidence may have grown too old.
+    /// Expires evidence and evicts VMs. Re-evaluates only VMs whose evidence may be too old.
     pub fn tick(&mut self, now: Moment) {
         let timing = self.timing;
-        let mut weighed: BTreeSet<VmName> = BTreeSet::new();
-        for ((_, scope), word) in &mut self.words {
-            let is_fresh = word.is_fresh(now, *scope, timing);
-            if word.was_fresh && !is_fresh {
-                weighed.extend(word.names.iter().cloned());
+        let mut affected: BTreeSet<VmName> = BTreeSet::new();
+        for ((_, scope), update) in &mut self.updates {
+            let is_fresh = update.is_fresh(now, *scope, timing);
+            if update.was_fresh && !is_fresh {
+                affected.extend(update.names.iter().cloned());
             }
-            word.was_fresh = is_fresh;
+            update.was_fresh = is_fresh;
         }
         for (name, vm) in &mut self.vms {
-            let is_silent = vm
-                .heard
+            let is_unresponsive = vm
+                .received
                 .is_none_or(|at| now - at >= timing.unresponsive_after);
-            let is_missed = vm
+            let is_overdue = vm
                 .expected
                 .is_some_and(|since| now - since >= timing.unresponsive_after);
-            if is_silent && is_missed {
-                vm.muted = Some(now);
+            if is_unresponsive && is_overdue {
+                vm.missed = Some(now);
             }
-            if is_silent && (is_missed || vm.evidence == Evidence::Direct) {
-                weighed.insert(name.clone());
+            if is_unresponsive && (is_overdue || vm.evidence == Evidence::Direct) {
+                affected.insert(name.clone());
             }
         }
-        for name in weighed {
-            self.weigh(now, &name);
+        for name in affected {
+            self.update_evidence(now, &name);
         }
-        // A VM that was paused goes on from its last word, so that is kept.
-        self.words
-            .retain(|_, word| now - word.heard < timing.forget_after);
+        // Expired updates are kept, since a paused VM continues with differences to them.
+        self.updates
+            .retain(|_, update| now - update.received < timing.forget_after);
         let before = self.vms.len();
         self.vms
-            .retain(|_, vm| vm.is_alive() || now - vm.seen < timing.forget_after);
+            .retain(|_, vm| vm.is_alive() || now - vm.last_evidence < timing.forget_after);
         if self.vms.len() != before {
             self.changes += 1;
         }
     }
 
-    /// VMs that a word of a scope names, this one included.
-    pub(crate) fn named_in(&self, scope: UpdateScope) -> impl Iterator<Item = &VmRecord> {
+    /// VMs that an update of a scope lists, this one included.
+    pub(crate) fn listed_in(&self, scope: UpdateScope) -> impl Iterator<Item = &VmRecord> {
         let least = scope.least_evidence();
         let others = self
             .vms
@@ -319,10 +321,10 @@
         others.chain([&self.own])
     }
 
-    /// Takes a record if it is newer than the one held.
-    fn take_record(&mut self, now: Moment, record: &VmRecord) {
+    /// Stores a record if it is newer than the known one.
+    fn apply_record(&mut self, now: Moment, record: &VmRecord) {
         if record.name == self.own.name {
-            self.take_own(record);
+            self.apply_own_record(record);
             return;
         }
         match self.vms.get_mut(&record.name) {
@@ -335,10 +337,10 @@
                 let known = KnownVm {
                     record: record.clone(),
                     evidence: Evidence::None,
-                    heard: None,
+                    received: None,
                     expected: None,
-                    muted: None,
-                    seen: now,
+                    missed: None,
+                    last_evidence: now,
                     order: aggregator_order(&record.name),
                 };
                 self.vms.insert(record.name.clone(), known);
@@ -347,34 +349,37 @@
         }
     }
 
-    /// A record of this VM's name from a later life than its own: the clock went back
-    /// between two lives, and a later one still is taken.
-    fn take_own(&mut self, record: &VmRecord) {
+    /// Handles a record under this VM's own name. If its incarnation is later than the
+    /// current one, the clock went back between two incarnations, and this VM moves to a
+    /// later incarnation still.
+    fn apply_own_record(&mut self, record: &VmRecord) {
         if record.version.incarnation > self.own.version.incarnation {
             self.own.version.incarnation = record.version.incarnation.next();
             self.changes += 1;
         }
     }
 
-    /// Works out the evidence for a VM.
-    fn weigh(&mut self, now: Moment, name: &VmName) {
+    /// Recomputes the evidence for a VM.
+    fn update_evidence(&mut self, now: Moment, name: &VmName) {
         let timing = self.timing;
         let own_region = self.own.region.clone();
         let Some(known) = self.vms.get(name) else {
             return;
         };
-        let is_heard = |at: Moment| now - at < timing.unresponsive_after;
-        let evidence = if known.heard.is_some_and(is_heard) {
+        let is_recent = |at: Moment| now - at < timing.unresponsive_after;
+        let evidence = if known.received.is_some_and(is_recent) {
             Evidence::Direct
         } else {
-            let counts = |scope: UpdateScope, word: &HeardWord| {
-                word.is_fresh(now, scope, timing)
-                    && known.muted.is_none_or(|muted| word.heard > muted)
+            let counts = |scope: UpdateScope, update: &ReceivedUpdate| {
+                update.is_fresh(now, scope, timing)
+                    && known.missed.is_none_or(|missed| update.received > missed)
             };
             let is_near = known.record.region == own_region;
-            self.words
+            self.updates
                 .iter()
-                .filter(|((_, scope), word)| counts(*scope, word) && word.names.contains(name))
+                .filter(|((_, scope), update)| {
+                    counts(*scope, update) && update.names.contains(name)
+                })
                 .map(|((_, scope), _)| scope.evidence(is_near))
                 .max()
                 .unwrap_or_default()
@@ -383,14 +388,14 @@
             return;
         };
         if evidence > Evidence::None || known.is_alive() {
-            known.seen = now;
+            known.last_evidence = now;
         }
         if known.evidence != evidence {
             let was_alive = known.is_alive();
             known.evidence = evidence;
             self.changes += 1;
             if known.is_alive() != was_alive {
-                self.news.push(name.clone());
+                self.changed_vms.push(name.clone());
             }
         }
     }
--- a/crates/overlay/src/totals.rs
+++ b/crates/overlay/src/totals.rs
@@ -1,12 +1,11 @@
 //! Work at servers, summed over VMs.
 //!
-//! A member tells its own work to one aggregator. The aggregator adds up what its
-//! members told, tells other aggregators of the region that sum, and each member the
-//! sum of everything but the member's own part. Sums are kept up to date by
-//! differences, so that a message costs work by what it names and not by servers
-//! times VMs.
+//! A member sends its own work to one aggregator. The aggregator sums the work of its
+//! members, sends that sum to the other aggregators of the region, and sends each member
+//! the total without the member's own part. Sums are updated by differences, so that
+//! processing a message costs time by its entries and not by servers times VMs.
 //!
-//! Invariant: the sums are those over the origins that count, each once.
+//! Invariant: each sum contains every counted origin exactly once.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -15,26 +14,27 @@
 use onyxfall_policy::Moment;
 use onyxfall_types::{VmName, name_tag};
 
-/// Age at which what another VM told of its work counts no longer.
-const WORK_LIFE: Duration = Duration::from_millis(1300);
-/// Age at which it is forgotten. Until then a VM that was paused goes on from it.
-const FORGET_AFTER: Duration = Duration::from_mins(2);
-/// How long a server without work is remembered, so that every link tells that it has
-/// none; a link that tells less often is broken.
-const EMPTY_LIFE: Duration = Duration::from_secs(10);
-/// Bound on each figure of what one VM tells of one server; beyond, an entry is absurd
-/// and left out. A sum over a million VMs does not overflow.
-const MOST_REQUESTS: u32 = 4_000;
-const MOST_TOKENS: u64 = 1 << 40;
-/// A flow that changed by less than this part of it is no news by itself.
-const FLOW_STEP: u64 = 8;
+/// Time after which the work received from another VM is excluded from the sums.
+const WORK_LIFETIME: Duration = Duration::from_millis(1300);
+/// Time after which the work received from another VM is dropped. Until then a VM that was
+/// paused can continue with differences to it.
+const EVICT_AFTER: Duration = Duration::from_mins(2);
+/// Time for which a server without work is kept, so that every link sends its empty entry. A
+/// link that sends less often than this has failed.
+const EMPTY_LIFETIME: Duration = Duration::from_secs(10);
+/// Upper bounds for each figure that one VM reports of one server. Entries beyond them are
+/// rejected as implausible. With these bounds a sum over a million VMs does not overflow.
+const MAX_REQUESTS: u32 = 4_000;
+const MAX_TOKENS: u64 = 1 << 40;
+/// A change of flow alone is sent only if it exceeds the flow divided by this number.
+const FLOW_CHANGE_DIVISOR: u64 = 8;
 
 /// Short name of a server in messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerTag(pub u32);
 
 impl ServerTag {
-    /// The tag of a server's name.
+    /// Computes the tag of a server's name.
     ///
     /// ```
     /// use onyxfall_overlay::ServerTag;
@@ -51,68 +51,68 @@
 pub struct WorkEntry {
     /// The server.
     pub server: ServerTag,
-    /// The work there.
+    /// Work at the server.
     pub share: WorkShare,
 }
 
-/// Work at servers: whole at first, then what has changed.
+/// Update of the work at servers: a complete one first, then differences.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkUpdate {
-    /// Whether servers that are not named have none.
+    /// Whether servers that are not listed have no work.
     pub is_whole: bool,
-    /// The servers whose work is told.
+    /// Work of the listed servers.
     pub entries: Vec<WorkEntry>,
 }
 
-/// Whose work a message of another VM tells.
+/// Whose work a message from another VM contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WorkOrigin {
-    /// Its own; it reports to this VM.
+    /// That of the sender, which reports to this VM.
     Member,
-    /// Its own and that of those that report to it.
+    /// That of the sender and of its members.
     Partial,
-    /// That of every VM but this one.
+    /// That of every VM except this one.
     Digest,
 }
 
-/// Whether what a VM told is part of the sums.
+/// Whether the work of an origin is part of the sums.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OriginState {
-    /// It is.
+    /// Included in the sums.
     Counted,
-    /// Another VM's word stands for the same work.
-    Aside,
-    /// Its VM has been silent; should it go on, so does the sum.
-    Silent,
+    /// Excluded, since another origin covers the same work.
+    Superseded,
+    /// Excluded while its VM is unresponsive; included again with the next message.
+    Unresponsive,
 }
 
-/// What became of a message.
+/// Result of applying a message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReceivedWork {
-    /// Absurd entries that were left out.
+    /// Number of implausible entries that were rejected.
     pub absurd: usize,
-    /// It follows a message that is not known here, so that the whole must be told
-    /// again.
+    /// Whether a message that this one builds on is missing, so that a complete update must
+    /// be sent.
     pub is_cut: bool,
 }
 
-/// Which sum a message tells.
+/// Selects the sum that a message contains.
 #[derive(Clone, Copy, Debug)]
 pub enum WorkView<'a> {
     /// This VM's own work.
     Own,
-    /// That of this VM and of those that report to it.
+    /// Work of this VM and of its members.
     Partial,
-    /// Everybody's but one VM's.
+    /// Work of all VMs except one.
     AllBut(&'a VmName),
 }
 
-/// What was told in one direction of a link: the last change that was looked at.
+/// Send position in one direction of a link: the last change that was included.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorkCursor(Option<u64>);
 
 impl WorkCursor {
-    /// Whether a change was looked at.
+    /// Whether a change was already included.
     fn has_seen(self, change: u64) -> bool {
         self.0.is_some_and(|seen| seen >= change)
     }
@@ -124,22 +124,24 @@
     own: WorkShare,
     members: WorkShare,
     aggregators: WorkShare,
-    /// Last change of `own`, of `own` or `members`, and of any.
+    /// Last change of `own`.
     own_changed: u64,
+    /// Last change of `own` or `members`.
     partial_changed: u64,
+    /// Last change of any of the sums.
     changed: u64,
-    /// When it was first seen without any work.
+    /// When the server was first found without any work.
     empty_since: Option<Moment>,
 }
 
 #[derive(Clone, Debug)]
 struct OriginShares {
     state: OriginState,
-    heard: Moment,
+    received: Moment,
     shares: HashMap<ServerTag, WorkShare>,
 }
 
-/// Work at the servers of a region, as told by other VMs.
+/// Work at the servers of a region, from this VM and as received from others.
 #[derive(Clone, Debug, Default)]
 pub struct WorkTotals {
     clock: u64,
@@ -147,12 +149,12 @@
     own_clock: u64,
     servers: BTreeMap<ServerTag, ServerSums>,
     origins: BTreeMap<(VmName, WorkOrigin), OriginShares>,
-    /// Servers whose sums over others have changed since they were last asked for.
-    news: Vec<ServerTag>,
+    /// Servers at which other VMs' work changed since the last [`WorkTotals::take_changes`].
+    changed_servers: Vec<ServerTag>,
 }
 
 impl WorkTotals {
-    /// Sets this VM's own work; servers that are not named have none.
+    /// Sets this VM's own work; servers that are not listed have none.
     pub fn set_own(&mut self, work: impl IntoIterator<Item = WorkEntry>) {
         let mut now: HashMap<ServerTag, WorkShare> =
             work.into_iter().map(|e| (e.server, e.share)).collect();
@@ -160,7 +162,7 @@
         let mut is_changed = false;
         for (tag, sums) in &mut self.servers {
             let share = now.remove(tag).unwrap_or_default();
-            if is_news(sums.own, share) {
+            if is_significant(sums.own, share) {
                 sums.set_own(clock, share);
                 is_changed = true;
             }
@@ -177,46 +179,46 @@
         }
     }
 
-    /// Takes what another VM tells.
+    /// Applies the work received from another VM.
     pub fn take(
         &mut self,
         now: Moment,
         from: &VmName,
         origin: WorkOrigin,
-        word: &WorkUpdate,
+        update: &WorkUpdate,
     ) -> ReceivedWork {
         let key = (from.clone(), origin);
-        if !word.is_whole && !self.origins.contains_key(&key) {
+        if !update.is_whole && !self.origins.contains_key(&key) {
             return ReceivedWork {
                 absurd: 0,
                 is_cut: true,
             };
         }
-        self.wake(&key);
-        let held = self.origins.entry(key).or_insert_with(|| OriginShares {
+        self.resume(&key);
+        let stored = self.origins.entry(key).or_insert_with(|| OriginShares {
             state: OriginState::Counted,
-            heard: now,
+            received: now,
             shares: HashMap::new(),
         });
-        held.heard = now;
-        let is_counted = held.state == OriginState::Counted;
-        let mut unnamed = if word.is_whole {
-            std::mem::take(&mut held.shares)
+        stored.received = now;
+        let is_counted = stored.state == OriginState::Counted;
+        let mut unnamed = if update.is_whole {
+            std::mem::take(&mut stored.shares)
         } else {
             HashMap::new()
         };
         let none = WorkShare::default();
         let mut absurd = 0;
         let mut changes: Vec<(ServerTag, WorkShare, WorkShare)> = Vec::new();
-        for entry in &word.entries {
-            if !is_sensible(&entry.share) {
+        for entry in &update.entries {
+            if !is_plausible(&entry.share) {
                 absurd += 1;
                 continue;
             }
             let whole = unnamed.remove(&entry.server);
-            let before = held.shares.remove(&entry.server).or(whole);
+            let before = stored.shares.remove(&entry.server).or(whole);
             if entry.share != none {
-                held.shares.insert(entry.server, entry.share);
+                stored.shares.insert(entry.server, entry.share);
             }
             changes.push((entry.server, before.unwrap_or(none), entry.share));
         }
@@ -232,86 +234,85 @@
         }
     }
 
-    /// Takes the sum over all VMs from an aggregator that this VM reports to. One that
-    /// has just become an aggregator may lack members: its word counts when it `is_warm`,
-    /// and until then the word of the one before it does.
-    pub fn take_digest(
+    /// Applies a digest from an aggregator that this VM reports to. The digest of a new
+    /// aggregator may lack members, so it counts only once it `is_warm`; until then the
+    /// digest of the previous aggregator counts, if there is one.
+    pub fn apply_digest(
         &mut self,
         now: Moment,
         from: &VmName,
         is_warm: bool,
-        word: &WorkUpdate,
+        update: &WorkUpdate,
     ) -> ReceivedWork {
-        let taken = self.take(now, from, WorkOrigin::Digest, word);
+        let received = self.take(now, from, WorkOrigin::Digest, update);
         let mut others = self.counted_digests();
         others.retain(|(name, _)| name != from);
         let own = (from.clone(), WorkOrigin::Digest);
         if is_warm || others.is_empty() {
             for other in others {
-                self.turn(&other, OriginState::Aside);
+                self.set_state(&other, OriginState::Superseded);
             }
-            self.turn(&own, OriginState::Counted);
+            self.set_state(&own, OriginState::Counted);
         } else {
-            self.turn(&own, OriginState::Aside);
+            self.set_state(&own, OriginState::Superseded);
         }
-        taken
+        received
     }
 
-    /// Leaves digests out of the sums: this VM is an aggregator and has the parts.
-    pub fn drop_digests(&mut self) {
+    /// Excludes digests from the sums, since this VM is an aggregator and receives the parts.
+    pub fn exclude_digests(&mut self) {
         for key in self.counted_digests() {
-            self.turn(&key, OriginState::Aside);
+            self.set_state(&key, OriginState::Superseded);
         }
     }
 
     fn counted_digests(&self) -> Vec<(VmName, WorkOrigin)> {
-        let digests = self.origins.iter().filter(|((_, origin), held)| {
-            *origin == WorkOrigin::Digest && held.state == OriginState::Counted
+        let digests = self.origins.iter().filter(|((_, origin), stored)| {
+            *origin == WorkOrigin::Digest && stored.state == OriginState::Counted
         });
         digests.map(|(key, _)| key.clone()).collect()
     }
 
-    /// Forgets what a VM told in one way: it tells its work in another one now.
+    /// Removes the work received from a VM as one origin, since that origin no longer applies.
     pub fn remove(&mut self, from: &VmName, origin: WorkOrigin) {
         let key = (from.clone(), origin);
-        self.turn(&key, OriginState::Aside);
+        self.set_state(&key, OriginState::Superseded);
         self.origins.remove(&key);
     }
 
-    /// Leaves those out of the sums that have told nothing for long, and forgets them
-    /// after that.
+    /// Excludes origins without recent messages from the sums, and later drops them.
     pub fn expire(&mut self, now: Moment) {
-        let silent: Vec<(VmName, WorkOrigin)> = self
+        let unresponsive: Vec<(VmName, WorkOrigin)> = self
             .origins
             .iter()
-            .filter(|(_, held)| now - held.heard >= WORK_LIFE)
+            .filter(|(_, stored)| now - stored.received >= WORK_LIFETIME)
             .map(|(key, _)| key.clone())
             .collect();
-        for key in silent {
-            self.turn(&key, OriginState::Silent);
+        for key in unresponsive {
+            self.set_state(&key, OriginState::Unresponsive);
         }
         self.origins
-            .retain(|_, held| now - held.heard < FORGET_AFTER);
+            .retain(|_, stored| now - stored.received < EVICT_AFTER);
         self.servers.retain(|_, sums| {
             if !sums.is_empty() {
                 sums.empty_since = None;
                 return true;
             }
-            now - *sums.empty_since.get_or_insert(now) < EMPTY_LIFE
+            now - *sums.empty_since.get_or_insert(now) < EMPTY_LIFETIME
         });
     }
 
-    /// VMs that report their work to this one.
+    /// VMs that currently report their work to this one.
     pub fn members(&self) -> impl Iterator<Item = &VmName> {
         self.origins
             .iter()
-            .filter(|((_, origin), held)| {
-                *origin == WorkOrigin::Member && held.state == OriginState::Counted
+            .filter(|((_, origin), stored)| {
+                *origin == WorkOrigin::Member && stored.state == OriginState::Counted
             })
             .map(|((name, _), _)| name)
     }
 
-    /// Other VMs' work at a server.
+    /// Work of other VMs at a server.
     pub fn others(&self, server: ServerTag) -> WorkShare {
         self.servers
             .get(&server)
@@ -320,23 +321,23 @@
             })
     }
 
-    /// Servers at which other VMs' work has changed since this was last asked.
+    /// Returns and clears the servers at which other VMs' work changed since the last call.
     pub fn take_changes(&mut self) -> Vec<ServerTag> {
-        let mut news = std::mem::take(&mut self.news);
-        news.sort_unstable();
-        news.dedup();
-        news
+        let mut changed = std::mem::take(&mut self.changed_servers);
+        changed.sort_unstable();
+        changed.dedup();
+        changed
     }
 
-    /// What to tell on a link, after what was told before.
-    pub fn tell(&self, view: WorkView<'_>, told: &mut WorkCursor) -> WorkUpdate {
-        let before = told.0;
-        told.0 = Some(self.clock);
-        let but = match view {
+    /// Builds the update of a sum that follows the state already sent on a link.
+    pub fn tell(&self, view: WorkView<'_>, cursor: &mut WorkCursor) -> WorkUpdate {
+        let before = cursor.0;
+        cursor.0 = Some(self.clock);
+        let excluded = match view {
             WorkView::AllBut(vm) => self.origins.get(&(vm.clone(), WorkOrigin::Member)),
             WorkView::Own | WorkView::Partial => None,
         };
-        let but = but.filter(|held| held.state == OriginState::Counted);
+        let excluded = excluded.filter(|stored| stored.state == OriginState::Counted);
         let mut entries = Vec::new();
         for (tag, sums) in &self.servers {
             let (share, changed) = match view {
@@ -344,15 +345,15 @@
                 WorkView::Partial => (sums.own.plus(sums.members), sums.partial_changed),
                 WorkView::AllBut(_) => {
                     let all = sums.own.plus(sums.members).plus(sums.aggregators);
-                    let part = but.and_then(|held| held.shares.get(tag));
+                    let part = excluded.and_then(|stored| stored.shares.get(tag));
                     (all.without(part.copied().unwrap_or_default()), sums.changed)
                 }
             };
-            let is_told = match before {
+            let is_included = match before {
                 None => share != WorkShare::default(),
                 Some(before) => changed > before,
             };
-            if is_told {
+            if is_included {
                 entries.push(WorkEntry {
                     server: *tag,
                     share,
@@ -365,36 +366,36 @@
         }
     }
 
-    /// Whether this VM's own work has changed since it was told on a link.
-    pub(crate) fn has_own_news(&self, told: WorkCursor) -> bool {
-        !told.has_seen(self.own_clock)
+    /// Whether this VM's own work has changed since the last update on a link.
+    pub(crate) fn has_own_changes(&self, cursor: WorkCursor) -> bool {
+        !cursor.has_seen(self.own_clock)
     }
 
-    /// Whether anybody's work has.
-    pub(crate) fn has_changes(&self, told: WorkCursor) -> bool {
-        !told.has_seen(self.clock)
+    /// Whether the work of any VM has changed since the last update on a link.
+    pub(crate) fn has_changes(&self, cursor: WorkCursor) -> bool {
+        !cursor.has_seen(self.clock)
     }
 
-    /// A VM that was silent goes on.
-    fn wake(&mut self, key: &(VmName, WorkOrigin)) {
-        let state = self.origins.get(key).map(|held| held.state);
-        if state == Some(OriginState::Silent) {
-            self.turn(key, OriginState::Counted);
+    /// Includes the work of a VM again that was unresponsive.
+    fn resume(&mut self, key: &(VmName, WorkOrigin)) {
+        let state = self.origins.get(key).map(|stored| stored.state);
+        if state == Some(OriginState::Unresponsive) {
+            self.set_state(key, OriginState::Counted);
         }
     }
 
-    /// Changes whether what a VM told is part of the sums.
-    fn turn(&mut self, key: &(VmName, WorkOrigin), state: OriginState) {
-        let Some(held) = self.origins.get_mut(key) else {
+    /// Sets the state of an origin and includes or excludes its work accordingly.
+    fn set_state(&mut self, key: &(VmName, WorkOrigin), state: OriginState) {
+        let Some(stored) = self.origins.get_mut(key) else {
             return;
         };
-        let was_counted = held.state == OriginState::Counted;
-        held.state = state;
+        let was_counted = stored.state == OriginState::Counted;
+        stored.state = state;
         if was_counted == (state == OriginState::Counted) {
             return;
         }
         let none = WorkShare::default();
-        let shares: Vec<(ServerTag, WorkShare)> = held
+        let shares: Vec<(ServerTag, WorkShare)> = stored
             .shares
             .iter()
             .map(|(tag, share)| (*tag, *share))
@@ -423,7 +424,7 @@
         };
         *sum = sum.without(before).plus(after);
         sums.changed = self.clock;
-        self.news.push(tag);
+        self.changed_servers.push(tag);
     }
 }
 
@@ -441,24 +442,25 @@
     }
 }
 
-fn is_sensible(share: &WorkShare) -> bool {
-    share.requests <= MOST_REQUESTS
-        && share.votes.good.max(share.votes.bad) <= MOST_REQUESTS
-        && share.unread.total() <= MOST_TOKENS
-        && share.memory <= MOST_TOKENS
-        && share.flow <= MOST_TOKENS
-        && share.limits.vms <= MOST_REQUESTS
-        && share.limits.thousandths <= MOST_TOKENS
+fn is_plausible(share: &WorkShare) -> bool {
+    share.requests <= MAX_REQUESTS
+        && share.votes.good.max(share.votes.bad) <= MAX_REQUESTS
+        && share.unread.total() <= MAX_TOKENS
+        && share.memory <= MAX_TOKENS
+        && share.flow <= MAX_TOKENS
+        && share.limits.vms <= MAX_REQUESTS
+        && share.limits.thousandths <= MAX_TOKENS
 }
 
-/// Whether a change of a VM's own work is worth telling: flow changes all the time.
-fn is_news(before: WorkShare, after: WorkShare) -> bool {
-    let same_but_flow = WorkShare {
+/// Whether a change of a VM's own work should be sent. Flow changes constantly, so a change of
+/// flow alone must exceed a fraction of it.
+fn is_significant(before: WorkShare, after: WorkShare) -> bool {
+    let with_same_flow = WorkShare {
         flow: before.flow,
         ..after
     };
-    let step = before.flow / FLOW_STEP;
-    same_but_flow != before
+    let step = before.flow / FLOW_CHANGE_DIVISOR;
+    with_same_flow != before
         || before.flow.abs_diff(after.flow) > step
         || (after.flow == 0) != (before.flow == 0)
 }
--- a/crates/overlay/tests/choices.rs
+++ b/crates/overlay/tests/choices.rs
@@ -1,5 +1,5 @@
-//! What VMs know of each other's work when they choose a server: how evenly requests lie on
-//! servers, against a choice without any knowledge of other VMs.
+//! How evenly VMs spread requests over servers with the work that they receive from each
+//! other, compared to choosing without that information.
 
 mod support;
 
@@ -13,7 +13,7 @@
 
 const REGIONS: usize = 3;
 const CENTERS: usize = 2;
-/// Servers among which a choice is made.
+/// Candidate servers per choice.
 const CANDIDATES: usize = 4;
 const STEP: Duration = Duration::from_millis(20);
 
@@ -21,16 +21,16 @@
     name: &'static str,
     /// VMs of a data centre.
     vms: usize,
-    /// Requests that a VM begins each second, and their length.
+    /// Requests that a VM starts per second, and their duration.
     rate: f64,
     length: Duration,
-    /// Requests under way at a server, in the mean.
+    /// Mean number of requests in progress at a server.
     load: f64,
-    /// Part of the spread of a choice without knowledge that may be left.
+    /// Maximum spread relative to a choice without information.
     spread: f64,
 }
 
-/// What VMs have under way: server and end of each request.
+/// Requests in progress by VM: server and end of each.
 struct FleetWork {
     rng: StdRng,
     begun: BTreeMap<usize, Vec<(u32, Moment)>>,
@@ -84,7 +84,7 @@
         fleet.run(STEP);
     }
 
-    /// Variance of the servers' work over that of a choice without knowledge.
+    /// Variance of the servers' load relative to that of a choice without information.
     fn spread(&self, fleet: &Fleet) -> f64 {
         let mut loads = vec![0.0; self.servers as usize * REGIONS];
         for (vm, own) in &self.begun {
@@ -98,8 +98,8 @@
     }
 }
 
-/// Mean spread over some seconds of a fleet under load.
-fn play(case: &ChoiceCase) -> f64 {
+/// Mean spread over two seconds of a fleet under load.
+fn simulate(case: &ChoiceCase) -> f64 {
     let mut fleet = Fleet::start(FleetShape::new(REGIONS, CENTERS, case.vms));
     fleet.run(Duration::from_millis(1500));
     let mut work = FleetWork::new(case);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn choices_by_what_is_told_are_much_better_than_blind_ones() {
+fn choices_with_received_work_spread_requests_better_than_uninformed_ones() {
     let case = |name, vms, rate, seconds, load, spread| ChoiceCase {
         name,
         vms,
@@ -134,7 +134,7 @@
         case("300 VMs, many requests", 50, 10.0, 2, 16.0, 0.4),
     ];
     for case in &cases {
-        let spread = play(case);
+        let spread = simulate(case);
         println!("{}: spread {spread:.2}", case.name);
         assert!(spread <= case.spread, "{}: spread {spread:.2}", case.name);
     }
--- a/crates/overlay/tests/curves.rs
+++ b/crates/overlay/tests/curves.rs
@@ -1,6 +1,6 @@
-//! What it costs a VM to be told of the others, as a curve over the size of the fleet.
+//! Cost per VM of exchanging state, as a curve over the size of the fleet.
 //!
-//! Sizes beyond those of the test are played, and all are printed, by
+//! To simulate further sizes and print all results, run
 //! `ONYXFALL_CURVE_VMS=984,1968 cargo test -p onyxfall-overlay --test curves -- --nocapture`.
 
 mod support;
@@ -11,22 +11,22 @@
 use rand::{Rng, SeedableRng};
 use support::{Fleet, FleetShape, TellCount};
 
-/// VMs of the fleets that are always played: 60, 204 and 984, in six data centres of three
-/// regions.
+/// Fleet sizes that the test always simulates: 60, 204 and 984 VMs in six data centres of
+/// three regions.
 const SIZES: [usize; 3] = [60, 204, 984];
 const CENTERS: usize = 6;
-/// Servers that a region works with, whatever its size.
+/// Servers per region, independent of its size.
 const SERVERS: u32 = 128;
-/// Changes of the work of a VM in a second: a request begins and ends.
+/// Changes of the work of a VM per second, as requests start and end.
 const CHANGES: f64 = 3.0;
-/// At twice the size no figure may be more than so many times as large.
+/// Maximum factor by which a figure may grow when the fleet doubles.
 const GROWTH: f64 = 1.2;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Lets a part of the VMs change their work.
+/// Changes the work of a random part of the VMs.
 fn change_work(fleet: &mut Fleet, rng: &mut StdRng) {
     for vm in fleet.living() {
         if rng.random_bool(CHANGES / 10.0) {
@@ -36,7 +36,7 @@
     }
 }
 
-fn play(vms: usize) -> TellCount {
+fn simulate(vms: usize) -> TellCount {
     let rng = &mut StdRng::seed_from_u64(1);
     let mut fleet = Fleet::start(FleetShape::new(3, 2, vms / CENTERS));
     fleet.run(ms(3000));
@@ -51,7 +51,7 @@
 
 #[test]
 fn what_a_vm_tells_does_not_grow_with_the_fleet() {
-    let counts: Vec<(usize, TellCount)> = SIZES.map(|vms| (vms, play(vms))).into();
+    let counts: Vec<(usize, TellCount)> = SIZES.map(|vms| (vms, simulate(vms))).into();
     for pair in counts.windows(2) {
         let [(small, before), (large, after)] = pair else {
             continue;
@@ -73,6 +73,6 @@
     }
     let more = std::env::var("ONYXFALL_CURVE_VMS").unwrap_or_default();
     for vms in more.split(',').filter_map(|vms| vms.parse().ok()) {
-        play(vms);
+        simulate(vms);
     }
 }
--- a/crates/overlay/tests/roster.rs
+++ b/crates/overlay/tests/roster.rs
@@ -1,4 +1,5 @@
-//! Who lives, by what was heard and told: random histories and single cases.
+//! Evidence of liveness from received messages and roster updates: single cases and random
+//! histories.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,14 +12,14 @@
 use onyxfall_types::{Incarnation, VmName};
 use proptest::prelude::*;
 
-const SILENT_MS: u64 = 1300;
+const UNRESPONSIVE_MS: u64 = 1300;
 const FLEET_MS: u64 = 4000;
 
 fn at(ms: u64) -> Moment {
     Moment::from_duration(Duration::from_millis(ms))
 }
 
-fn record(number: usize, region: usize, life: u64, change: u32) -> VmRecord {
+fn record(number: usize, region: usize, incarnation: u64, change: u32) -> VmRecord {
     VmRecord {
         name: format!("vm{number}").parse().unwrap(),
         center: format!("c{region}").parse().unwrap(),
@@ -27,7 +28,7 @@
         peer_address: SocketAddr::from(([127, 0, 0, 1], 2)),
         capacity: VmCapacity::default(),
         version: RecordVersion {
-            incarnation: Incarnation::new(life),
+            incarnation: Incarnation::new(incarnation),
             change,
         },
         status: VmStatus::default(),
@@ -36,14 +37,14 @@
 
 fn roster() -> Roster {
     let timing = RosterTiming {
-        unresponsive_after: Duration::from_millis(SILENT_MS),
+        unresponsive_after: Duration::from_millis(UNRESPONSIVE_MS),
         fleet_update_lifetime: Duration::from_millis(FLEET_MS),
         forget_after: Duration::from_mins(2),
     };
     Roster::new(record(0, 0, 1, 0), timing)
 }
 
-fn word(scope: UpdateScope, is_whole: bool, records: Vec<VmRecord>) -> RosterUpdate {
+fn update(scope: UpdateScope, is_whole: bool, records: Vec<VmRecord>) -> RosterUpdate {
     RosterUpdate {
         scope,
         is_whole,
@@ -57,74 +58,74 @@
     roster.get(&name).map_or(Evidence::None, |vm| vm.evidence)
 }
 
-struct WordCase {
+struct UpdateCase {
     name: &'static str,
     scope: UpdateScope,
-    /// Regions of the teller and of the VM that it names.
-    teller: usize,
+    /// Region numbers of the sender and of the VM that its update lists.
+    sender: usize,
     named: usize,
     expected: Evidence,
 }
 
 #[test]
-fn a_word_is_worth_what_its_teller_can_know() {
+fn evidence_of_an_update_depends_on_scope_and_sender() {
     let cases = [
-        WordCase {
-            name: "a neighbour hears a neighbour",
+        UpdateCase {
+            name: "a neighbour receives from a neighbour",
             scope: UpdateScope::Own,
-            teller: 0,
+            sender: 0,
             named: 0,
             expected: Evidence::Neighbour,
         },
-        WordCase {
-            name: "a neighbour cannot vouch for another region",
+        UpdateCase {
+            name: "a neighbour gives no evidence for another region",
             scope: UpdateScope::Own,
-            teller: 0,
+            sender: 0,
             named: 1,
             expected: Evidence::None,
         },
-        WordCase {
-            name: "a region tells of its own",
+        UpdateCase {
+            name: "a region lists its own VMs",
             scope: UpdateScope::Region,
-            teller: 1,
+            sender: 1,
             named: 1,
             expected: Evidence::Region,
         },
-        WordCase {
-            name: "another region cannot vouch for this one",
+        UpdateCase {
+            name: "another region gives no evidence for this one",
             scope: UpdateScope::Region,
-            teller: 1,
+            sender: 1,
             named: 0,
             expected: Evidence::None,
         },
-        WordCase {
-            name: "an aggregator tells its members of all",
+        UpdateCase {
+            name: "an aggregator lists all VMs to its members",
             scope: UpdateScope::Fleet,
-            teller: 0,
+            sender: 0,
             named: 1,
             expected: Evidence::Fleet,
         },
     ];
     for case in cases {
         let mut roster = roster();
-        let teller = record(1, case.teller, 1, 0);
-        roster.hear(at(0), &teller);
+        let sender = record(1, case.sender, 1, 0);
+        roster.hear(at(0), &sender);
         let named = record(2, case.named, 1, 0);
-        roster.take_word(at(0), &teller.name, &word(case.scope, true, vec![named]));
+        roster.apply_update(at(0), &sender.name, &update(case.scope, true, vec![named]));
         assert_eq!(evidence(&roster, 2), case.expected, "{}", case.name);
     }
 }
 
 #[test]
-fn what_was_told_is_never_told_on_as_ones_own() {
+fn fleet_evidence_is_not_forwarded_as_own_evidence() {
     let mut roster = roster();
-    let teller = record(1, 0, 1, 0);
-    roster.hear(at(0), &teller);
+    let sender = record(1, 0, 1, 0);
+    roster.hear(at(0), &sender);
     let named = record(2, 0, 1, 0);
-    roster.take_word(
+    roster.apply_update(
         at(0),
-        &teller.name,
-        &word(UpdateScope::Fleet, true, vec![named]),
+        &sender.name,
+        &update(UpdateScope::Fleet, true, vec![named]),
     );
     assert_eq!(evidence(&roster, 2), Evidence::Fleet);
     for scope in [UpdateScope::Own, UpdateScope::Region, UpdateScope::Fleet] {
@@ -133,34 +134,34 @@
 }
 
 #[test]
-fn a_paused_teller_goes_on_from_its_last_word() {
+fn a_paused_sender_continues_from_its_last_update() {
     let mut roster = roster();
-    let teller = record(1, 0, 1, 0);
-    roster.hear(at(0), &teller);
+    let sender = record(1, 0, 1, 0);
+    roster.hear(at(0), &sender);
     let named = record(2, 0, 1, 0);
-    roster.take_word(
+    roster.apply_update(
         at(0),
-        &teller.name,
-        &word(UpdateScope::Own, true, vec![named]),
+        &sender.name,
+        &update(UpdateScope::Own, true, vec![named]),
     );
-    roster.tick(at(SILENT_MS));
+    roster.tick(at(UNRESPONSIVE_MS));
     assert_eq!(evidence(&roster, 2), Evidence::None);
-    assert!(roster.hear_word_again(at(5000), &teller.name, UpdateScope::Own));
+    assert!(roster.renew_update(at(5000), &sender.name, UpdateScope::Own));
     assert_eq!(evidence(&roster, 2), Evidence::Neighbour);
 }
 
 #[test]
-fn a_word_that_follows_an_unknown_one_is_refused() {
+fn a_difference_without_a_complete_update_is_rejected() {
     let mut roster = roster();
-    let teller = record(1, 0, 1, 0);
-    roster.hear(at(0), &teller);
-    let news = word(UpdateScope::Own, false, vec![record(2, 0, 1, 0)]);
-    assert!(!roster.take_word(at(0), &teller.name, &news));
+    let sender = record(1, 0, 1, 0);
+    roster.hear(at(0), &sender);
+    let difference = update(UpdateScope::Own, false, vec![record(2, 0, 1, 0)]);
+    assert!(!roster.apply_update(at(0), &sender.name, &difference));
     assert_eq!(evidence(&roster, 2), Evidence::None);
 }
 
 #[test]
-fn a_later_life_of_ones_own_name_is_outlived() {
+fn a_later_incarnation_of_the_own_name_is_exceeded() {
     let mut roster = roster();
     roster.hear(at(0), &record(0, 0, 9, 0));
     let own = roster.own().version.incarnation;
@@ -169,11 +170,11 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// VM, life, change.
-    Hear(usize, u64, u32),
-    /// Teller, scope, whether whole, VMs named.
-    Word(usize, usize, bool, Vec<(usize, u64, u32)>),
-    /// Teller, VM no longer named.
+    /// VM, incarnation, change.
+    Receive(usize, u64, u32),
+    /// Sender, scope, whether the update is complete, VMs listed.
+    Update(usize, usize, bool, Vec<(usize, u64, u32)>),
+    /// Sender, VM no longer listed.
     Gone(usize, usize),
     Wait(u64),
 }
@@ -182,20 +183,24 @@
     let vm = || 1..6_usize;
     let named = (vm(), 1..3_u64, 0..3_u32);
     prop_oneof![
-        (vm(), 1..3_u64, 0..3_u32).prop_map(|(vm, life, change)| Step::Hear(vm, life, change)),
+        (vm(), 1..3_u64, 0..3_u32).prop_map(|(vm, incarnation, change)| Step::Receive(
+            vm,
+            incarnation,
+            change
+        )),
         (
             vm(),
             0..3_usize,
             any::<bool>(),
             prop::collection::vec(named, 0..4)
         )
-            .prop_map(|(vm, scope, is_whole, named)| Step::Word(vm, scope, is_whole, named)),
-        (vm(), vm()).prop_map(|(teller, vm)| Step::Gone(teller, vm)),
+            .prop_map(|(vm, scope, is_whole, named)| Step::Update(vm, scope, is_whole, named)),
+        (vm(), vm()).prop_map(|(sender, vm)| Step::Gone(sender, vm)),
         (1..2000_u64).prop_map(Step::Wait),
     ]
 }
 
-/// Odd VMs are of this region.
+/// Region of a VM: odd numbers belong to this region.
 fn region(vm: usize) -> usize {
     1 - vm % 2
 }
@@ -206,44 +211,44 @@
         ..ProptestConfig::with_cases(256)
     })]
 
-    /// Whatever is heard and told: versions never go back, and a VM that nobody has
-    /// heard or named within the bound is not alive.
+    /// For any sequence of messages, versions never decrease, and a VM that sent nothing and
+    /// was not listed within the bound is not alive.
     #[test]
-    fn versions_never_go_back_and_the_dead_stay_dead(
+    fn versions_never_decrease_and_dead_vms_stay_dead(
         steps in prop::collection::vec(step(), 1..80)
     ) {
         let mut roster = roster();
         let mut now = 0;
-        let mut last_word = [None; 6];
+        let mut last_update = [None; 6];
         let mut versions = [RecordVersion::default(); 6];
         for step in steps {
             match step {
-                Step::Hear(vm, life, change) => {
-                    roster.hear(at(now), &record(vm, region(vm), life, change));
-                    last_word[vm] = Some(now);
+                Step::Receive(vm, incarnation, change) => {
+                    roster.hear(at(now), &record(vm, region(vm), incarnation, change));
+                    last_update[vm] = Some(now);
                 }
-                Step::Word(teller, scope, is_whole, named) => {
+                Step::Update(sender, scope, is_whole, named) => {
                     let scope = UpdateScope::ALL[scope];
-                    let name: VmName = format!("vm{teller}").parse().unwrap();
+                    let name: VmName = format!("vm{sender}").parse().unwrap();
                     let records = named
                         .iter()
-                        .map(|(vm, life, change)| record(*vm, region(*vm), *life, *change))
+                        .map(|(vm, incarnation, change)| record(*vm, region(*vm), *incarnation, *change))
                         .collect();
-                    let is_taken =
-                        roster.take_word(at(now), &name, &word(scope, is_whole, records));
-                    if is_taken {
-                        // Whoever the teller named before is vouched for again as well.
-                        last_word.fill(Some(now));
+                    let is_applied =
+                        roster.apply_update(at(now), &name, &update(scope, is_whole, records));
+                    if is_applied {
+                        // VMs that the sender listed earlier are renewed as well.
+                        last_update.fill(Some(now));
                     }
                 }
-                Step::Gone(teller, vm) => {
-                    let name: VmName = format!("vm{teller}").parse().unwrap();
+                Step::Gone(sender, vm) => {
+                    let name: VmName = format!("vm{sender}").parse().unwrap();
                     let gone = RosterUpdate {
                         gone: vec![format!("vm{vm}").parse().unwrap()],
-                        ..word(UpdateScope::Own, false, Vec::new())
+                        ..update(UpdateScope::Own, false, Vec::new())
                     };
-                    if roster.take_word(at(now), &name, &gone) {
-                        last_word.fill(Some(now));
+                    if roster.apply_update(at(now), &name, &gone) {
+                        last_update.fill(Some(now));
                     }
                 }
                 Step::Wait(ms) => now += ms,
@@ -256,7 +261,7 @@
                 };
                 prop_assert!(known.record.version >= versions[vm]);
                 versions[vm] = known.record.version;
-                let bound = last_word[vm].map_or(0, |heard| heard + FLEET_MS);
+                let bound = last_update[vm].map_or(0, |received| received + FLEET_MS);
                 prop_assert!(!known.is_alive() || now < bound);
             }
         }
--- a/crates/overlay/tests/support/mod.rs
+++ b/crates/overlay/tests/support/mod.rs
@@ -18,9 +18,9 @@
 
 /// Step of virtual time.
 const STEP: Duration = Duration::from_millis(10);
-const SILENT_AFTER: Duration = Duration::from_millis(1300);
-const FLEET_WORD_LIFE: Duration = Duration::from_secs(4);
-const FORGET_AFTER: Duration = Duration::from_mins(2);
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1300);
+const FLEET_UPDATE_LIFETIME: Duration = Duration::from_secs(4);
+const EVICT_AFTER: Duration = Duration::from_mins(2);
 const SEEDS: usize = 3;
 
 /// Regions, data centres of each, and VMs of each data centre.
@@ -154,9 +154,9 @@
 
     fn fresh(&self, index: usize) -> OverlayNode {
         let timing = RosterTiming {
-            unresponsive_after: SILENT_AFTER,
-            fleet_update_lifetime: FLEET_WORD_LIFE,
-            forget_after: FORGET_AFTER,
+            unresponsive_after: UNRESPONSIVE_AFTER,
+            fleet_update_lifetime: FLEET_UPDATE_LIFETIME,
+            forget_after: EVICT_AFTER,
         };
         let stride = self.records.len() / SEEDS.min(self.records.len());
         let seeds = (0..SEEDS.min(self.records.len()))
--- a/crates/overlay/tests/totals.rs
+++ b/crates/overlay/tests/totals.rs
@@ -1,4 +1,4 @@
-//! Sums of work over random histories of VMs that tell, change, fall silent and return.
+//! Sums of work over random histories of VMs that send, change, become unresponsive and return.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -36,27 +36,27 @@
     }
 }
 
-fn word(is_whole: bool, entries: &[(u32, u32)]) -> WorkUpdate {
+fn update(is_whole: bool, entries: &[(u32, u32)]) -> WorkUpdate {
     WorkUpdate {
         is_whole,
         entries: entries.iter().map(|(s, r)| entry(*s, *r)).collect(),
     }
 }
 
-/// Requests at each server as a word that follows `told` gives them.
+/// Receiver that follows the updates of one sum.
 #[derive(Default)]
 struct Reader {
-    told: WorkCursor,
+    cursor: WorkCursor,
     known: BTreeMap<ServerTag, WorkShare>,
 }
 
 impl Reader {
     fn read(&mut self, totals: &WorkTotals, view: WorkView<'_>) {
-        let word = totals.tell(view, &mut self.told);
-        if word.is_whole {
+        let update = totals.tell(view, &mut self.cursor);
+        if update.is_whole {
             self.known.clear();
         }
-        for entry in word.entries {
+        for entry in update.entries {
             self.known.insert(entry.server, entry.share);
         }
         self.known.retain(|_, share| *share != WorkShare::default());
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Own(Vec<(u32, u32)>),
-    Tell(usize, Vec<(u32, u32)>),
+    Send(usize, Vec<(u32, u32)>),
     Leave(usize),
     Wait(u64),
 }
@@ -75,13 +75,13 @@
     let work = || prop::collection::vec((0..6_u32, 0..4_u32), 0..5);
     prop_oneof![
         work().prop_map(Step::Own),
-        (0..4_usize, work()).prop_map(|(vm, work)| Step::Tell(vm, work)),
+        (0..4_usize, work()).prop_map(|(vm, work)| Step::Send(vm, work)),
         (0..4_usize).prop_map(Step::Leave),
         (1..900_u64).prop_map(Step::Wait),
     ]
 }
 
-/// What a VM has at each server, the last entry of a server counting.
+/// Work of a VM by server; the last entry of a server wins.
 fn as_map(work: &[(u32, u32)]) -> BTreeMap<u32, u32> {
     work.iter().copied().collect()
 }
@@ -92,10 +92,10 @@
         ..ProptestConfig::with_cases(256)
     })]
 
-    /// Members tell by differences, and readers read by differences: what a reader
-    /// knows is the sum of what the members that are not silent have told.
+    /// Members send differences and readers receive differences. A reader's state must equal
+    /// the sum of the work sent by the responsive members, plus the VM's own.
     #[test]
-    fn readers_know_the_sum_of_what_members_told(steps in prop::collection::vec(step(), 1..60)) {
+    fn readers_receive_the_sum_of_the_members_work(steps in prop::collection::vec(step(), 1..60)) {
         let mut totals = WorkTotals::default();
         let mut own = BTreeMap::new();
         let mut told: BTreeMap<usize, (u64, BTreeMap<u32, u32>)> = BTreeMap::new();
@@ -108,13 +108,13 @@
                     own = as_map(&work);
                     totals.set_own(own.iter().map(|(s, r)| entry(*s, *r)));
                 }
-                Step::Tell(number, work) => {
+                Step::Send(number, work) => {
                     let is_whole = !told.contains_key(&number);
                     let held = told.entry(number).or_default();
                     held.0 = now;
                     held.1.extend(as_map(&work));
                     let changes: Vec<(u32, u32)> = as_map(&work).into_iter().collect();
-                    let told = word(is_whole, &changes);
+                    let told = update(is_whole, &changes);
                     totals.take(at(now), &vm(number), WorkOrigin::Member, &told);
                 }
                 Step::Leave(number) => {
@@ -124,11 +124,11 @@
                 Step::Wait(ms) => now += ms,
             }
             totals.expire(at(now));
-            let lives = |heard: u64| now - heard < 1300;
+            let is_responsive = |heard: u64| now - heard < 1300;
             let sum = |but: Option<usize>, server: u32| -> u32 {
                 let members = told
                     .iter()
-                    .filter(|(number, (heard, _))| lives(*heard) && Some(**number) != but)
+                    .filter(|(number, (heard, _))| is_responsive(*heard) && Some(**number) != but)
                     .map(|(_, (_, work))| work.get(&server).copied().unwrap_or(0));
                 members.sum::<u32>() + own.get(&server).copied().unwrap_or(0)
             };
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn absurd_work_is_left_out_and_counted() {
+fn implausible_work_is_rejected_and_counted() {
     let cases = [
         AbsurdCase {
             name: "requests",
@@ -185,40 +185,40 @@
     ];
     for case in cases {
         let mut totals = WorkTotals::default();
-        totals.take(at(0), &vm(1), WorkOrigin::Partial, &word(true, &[(0, 2)]));
-        let forged = WorkUpdate {
+        totals.take(at(0), &vm(1), WorkOrigin::Partial, &update(true, &[(0, 2)]));
+        let implausible = WorkUpdate {
             is_whole: false,
             entries: vec![WorkEntry {
                 server: ServerTag(0),
                 share: case.share,
             }],
         };
-        let taken = totals.take(at(0), &vm(1), WorkOrigin::Partial, &forged);
-        assert_eq!(taken.absurd, 1, "{}", case.name);
+        let received = totals.take(at(0), &vm(1), WorkOrigin::Partial, &implausible);
+        assert_eq!(received.absurd, 1, "{}", case.name);
         assert_eq!(totals.others(ServerTag(0)), share(2), "{}", case.name);
     }
 }
 
 #[test]
-fn a_word_that_follows_an_unknown_one_is_cut() {
+fn a_difference_without_a_complete_update_is_cut() {
     let mut totals = WorkTotals::default();
-    let taken = totals.take(at(0), &vm(1), WorkOrigin::Member, &word(false, &[(0, 2)]));
+    let received = totals.take(at(0), &vm(1), WorkOrigin::Member, &update(false, &[(0, 2)]));
     let expected = ReceivedWork {
         absurd: 0,
         is_cut: true,
     };
-    assert_eq!(taken, expected);
+    assert_eq!(received, expected);
     assert_eq!(totals.others(ServerTag(0)), WorkShare::default());
 }
 
 #[test]
-fn a_paused_vm_goes_on_from_what_it_told() {
+fn a_paused_vm_continues_from_its_last_update() {
     let mut totals = WorkTotals::default();
     totals.take(
         at(0),
         &vm(1),
         WorkOrigin::Member,
-        &word(true, &[(0, 2), (1, 3)]),
+        &update(true, &[(0, 2), (1, 3)]),
     );
     totals.expire(at(3000));
     assert_eq!(totals.others(ServerTag(1)), share(0));
@@ -226,7 +226,7 @@
         at(3100),
         &vm(1),
         WorkOrigin::Member,
-        &word(false, &[(0, 1)]),
+        &update(false, &[(0, 1)]),
     );
     assert_eq!(totals.others(ServerTag(0)), share(1));
     assert_eq!(totals.others(ServerTag(1)), share(3));
@@ -235,10 +235,10 @@
 #[test]
 fn a_new_aggregators_digest_counts_once_it_is_warm() {
     let mut totals = WorkTotals::default();
-    totals.take_digest(at(0), &vm(1), true, &word(true, &[(0, 9)]));
-    totals.take_digest(at(100), &vm(2), false, &word(true, &[(0, 1)]));
+    totals.apply_digest(at(0), &vm(1), true, &update(true, &[(0, 9)]));
+    totals.apply_digest(at(100), &vm(2), false, &update(true, &[(0, 1)]));
     assert_eq!(totals.others(ServerTag(0)), share(9), "the former one's");
-    totals.take_digest(at(400), &vm(2), true, &word(false, &[(0, 8)]));
+    totals.apply_digest(at(400), &vm(2), true, &update(false, &[(0, 8)]));
     assert_eq!(
         totals.others(ServerTag(0)),
         share(8),
--- a/crates/wire/src/class.rs
+++ b/crates/wire/src/class.rs
@@ -2,10 +2,10 @@
 
 use crate::message::PeerPayload;
 
-/// What a frame's bytes are spent on.
+/// Traffic class of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameClass {
-    /// Requests and answers.
+    /// Requests and responses.
     Request,
     /// Heartbeats and load within and between data centres.
     Control,
@@ -14,10 +14,10 @@
 }
 
 impl FrameClass {
-    /// Every class.
+    /// All classes.
     pub const ALL: [Self; 3] = [Self::Request, Self::Control, Self::Configuration];
 
-    /// Label for metrics.
+    /// Label of the class in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Request => "request",
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Class of a payload.
+    /// Traffic class of a payload.
     pub const fn of(payload: &PeerPayload) -> Self {
         match payload {
             PeerPayload::Open(_)
--- a/crates/wire/src/packed.rs
+++ b/crates/wire/src/packed.rs
@@ -1,7 +1,8 @@
-//! Items of a copy of the store, packed: the entries of servers are much alike, and each VM
-//! that starts takes a copy of all of them over the links of a few others.
+//! Compression of the items of a store copy. Server entries are very similar, and each VM
+//! that starts fetches a copy of all of them over the links of a few others.
 //!
-//! Invariant: unpacking takes no more memory than a frame may have bytes, whatever came in.
+//! Invariant: unpacking never produces more bytes than [`MAX_FRAME`] plus one, whatever the
+//! input.
 
 use std::io::{self, Read, Write};
 
@@ -24,16 +25,16 @@
     /// Unpacked, they would be larger than a frame.
     #[error("more than {MAX_FRAME} bytes when unpacked")]
     TooLarge,
-    /// What was packed is not a list of items.
+    /// The unpacked bytes are not a list of items.
     #[error("packed bytes are no items: {0}")]
     Malformed(#[from] prost::DecodeError),
 }
 
-/// Packs items.
+/// Compresses items.
 ///
 /// # Errors
 ///
-/// [`PackError::TooLarge`] if they would not be unpacked again.
+/// [`PackError::TooLarge`] if the items exceed the limit that applies to unpacking.
 ///
 /// ```
 /// use onyxfall_wire::{SnapshotItem, pack_items, unpack_items};
@@ -55,7 +56,7 @@
     Ok(encoder.finish()?.into())
 }
 
-/// Unpacks items that came from another VM.
+/// Decompresses items received from another VM.
 ///
 /// # Errors
 ///
--- a/crates/wire/src/window.rs
+++ b/crates/wire/src/window.rs
@@ -1,17 +1,17 @@
-//! Credit of one stream: a slow caller stops its own stream, not the others.
+//! Flow control of one stream by credit: a slow caller stalls only its own stream.
 //!
-//! Invariant: at most [`INITIAL_CREDIT`] of an answer is on its way or waits
-//! unread at the other side.
+//! Invariant: at most [`INITIAL_CREDIT`] of a response is in transit or buffered unread at the
+//! receiver.
 
 use std::sync::{Condvar, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Credit with which a stream begins, in bytes.
+/// Initial credit of a stream in bytes.
 pub const INITIAL_CREDIT: u64 = 256 * 1024;
-/// Least cost of a frame, so that many tiny ones are bounded too.
+/// Minimum cost of a frame, which bounds the number of tiny frames as well.
 const MIN_COST: u64 = 64;
 
-/// What a data frame of `len` bytes costs.
+/// Credit that a data frame of `len` bytes costs.
 pub fn frame_cost(len: usize) -> u64 {
     (len as u64).max(MIN_COST)
 }
@@ -22,7 +22,7 @@
     closed: bool,
 }
 
-/// Credit that a sender has left.
+/// Remaining credit of a sender.
 #[derive(Debug)]
 pub struct CreditWindow {
     state: Mutex<WindowState>,
@@ -36,7 +36,7 @@
 }
 
 impl CreditWindow {
-    /// A window with the initial credit.
+    /// Creates a window with the initial credit.
     pub fn new() -> Self {
         let state = WindowState {
             credit: INITIAL_CREDIT,
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Takes `cost`, waiting for it up to `patience`; whether it was there.
+    /// Waits up to `timeout` for `cost` credit and takes it. Returns false if the timeout
+    /// expired or the window was closed.
     ///
     /// ```
     /// use onyxfall_wire::{CreditWindow, INITIAL_CREDIT};
@@ -57,8 +58,8 @@
     /// assert!(window.take(INITIAL_CREDIT, Duration::ZERO));
     /// assert!(!window.take(1, Duration::ZERO));
     /// ```
-    pub fn take(&self, cost: u64, patience: Duration) -> bool {
-        let until = Instant::now() + patience;
+    pub fn take(&self, cost: u64, timeout: Duration) -> bool {
+        let until = Instant::now() + timeout;
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         loop {
             if state.closed {
@@ -77,14 +78,14 @@
         }
     }
 
-    /// Adds credit.
+    /// Adds credit, up to the initial credit.
     pub fn grant(&self, bytes: u64) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.credit = state.credit.saturating_add(bytes).min(INITIAL_CREDIT);
         self.changed.notify_all();
     }
 
-    /// Ends all waiting.
+    /// Closes the window and makes all waiting calls return.
     pub fn close(&self) {
         self.state
             .lock()
