--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Frames over an asynchronous stream.
+//! Encoding and decoding of frames on an asynchronous stream.
 
 use bytes::{Bytes, BytesMut};
 use prost::Message;
@@ -7,7 +7,7 @@
 use crate::frame::{FrameError, codec};
 use crate::message::PeerFrame;
 
-/// Codec of frames for `tokio_util::codec::Framed`.
+/// Frame codec for `tokio_util::codec::Framed`.
 ///
 /// ```
 /// use bytes::BytesMut;
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,6 @@
-//! Frames over a blocking stream.
+//! Reading and writing of frames on a blocking stream.
+//!
+//! Invariant: no frame exceeds [`MAX_FRAME`], in either direction.
 
 use std::io::{self, Read, Write};
 
@@ -11,29 +13,29 @@
 
 use crate::message::PeerFrame;
 
-/// Largest frame in bytes.
+/// Maximum size of an encoded message in bytes, without its length prefix.
 pub const MAX_FRAME: usize = 8 * 1024 * 1024;
 const READ_CHUNK: usize = 16 * 1024;
 
-/// Why no frame could be read.
+/// Why a frame could not be read or written.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// The other side closed between two frames.
+    /// The peer closed the stream between two frames.
     #[error("closed")]
     Closed,
-    /// The other side closed within a frame.
+    /// The peer closed the stream within a frame.
     #[error("closed within a frame")]
     Truncated,
     /// A frame exceeds [`MAX_FRAME`].
     #[error("frame too large")]
     TooLarge,
-    /// A frame is not a message.
+    /// The bytes of a frame do not decode to a message.
     #[error("malformed frame: {0}")]
     Malformed(prost::DecodeError),
-    /// Items that were packed here cannot be unpacked.
+    /// Items that this VM packed itself cannot be unpacked.
     #[error(transparent)]
     Packed(PackError),
-    /// The stream failed.
+    /// Reading from or writing to the stream failed.
     #[error("stream failed: {0}")]
     Io(#[from] io::Error),
 }
@@ -52,7 +54,7 @@
 }
 
 impl<R: Read> FrameReader<R> {
-    /// Wraps a stream.
+    /// Creates a reader of `stream`.
     pub fn new(stream: R) -> Self {
         Self {
             stream,
@@ -61,12 +63,12 @@
         }
     }
 
-    /// Reads the next frame and its length on the wire.
+    /// Reads the next frame; returns it with its length on the wire.
     ///
     /// # Errors
     ///
-    /// The stream ended or failed, or sent what is not a frame; it is then of
-    /// no further use.
+    /// A [`FrameError`] if the stream ended, failed or contains a malformed frame. The reader
+    /// must not be used afterwards.
     ///
     /// ```
     /// use onyxfall_wire::*;
@@ -98,8 +100,8 @@
             }
         };
         if len == 0 {
-            let whole = self.buffer.is_empty();
-            return Err(if whole {
+            let is_between_frames = self.buffer.is_empty();
+            return Err(if is_between_frames {
                 FrameError::Closed
             } else {
                 FrameError::Truncated
@@ -118,7 +120,7 @@
 }
 
 impl<W: Write> FrameWriter<W> {
-    /// Wraps a stream.
+    /// Creates a writer to `stream`.
     pub fn new(stream: W) -> Self {
         Self {
             stream,
@@ -127,7 +129,7 @@
         }
     }
 
-    /// The stream.
+    /// Underlying stream.
     pub fn stream(&self) -> &W {
         &self.stream
     }
@@ -136,7 +138,8 @@
     ///
     /// # Errors
     ///
-    /// The frame is too large (nothing was written) or the stream failed.
+    /// [`FrameError::TooLarge`] if the frame is too large, in which case nothing was written, or
+    /// [`FrameError::Io`] if the stream failed.
     pub fn write(&mut self, frame: &PeerFrame) -> Result<usize, FrameError> {
         self.buffer.clear();
         let body = Bytes::from(frame.encode_to_vec());
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,14 +1,14 @@
-//! Frames between entry VMs.
+//! Wire protocol between VMs.
 //!
-//! A frame is a length prefix (four bytes, big endian) and one [`PeerFrame`] in
-//! Protocol Buffers, for which `prost` derives the code, so that no generator
-//! is needed. Unknown fields and unknown payloads are ignored, so that versions
-//! can be mixed while VMs are replaced.
+//! A frame is a length prefix (4 bytes, big endian) followed by one [`PeerFrame`] in Protocol
+//! Buffers. `prost` derives the encoding from the types, so no code generator is needed.
+//! Unknown fields and unknown payloads are ignored, so that VMs of different versions can
+//! communicate during an upgrade.
 //!
-//! Frames are few: requests (open, head, data, credit, end, cancel), control
-//! (beat, pong, load of a data centre) and configuration (records, contents).
-//! A stream is named by the connection's two lives and the attempt id, which
-//! its sender never uses again.
+//! Between entries, frames carry requests (open, head, data, credit, end, cancel), control
+//! traffic (heartbeat, pong, load of a data centre) and configuration (records, contents).
+//! A stream is identified by the incarnations at both ends of the connection and the attempt
+//! id, which its sender never reuses.
 
 mod class;
 mod codec;
@@ -32,5 +32,5 @@
 pub use packed::{PackError, pack_items, unpack_items};
 pub use window::{CreditWindow, INITIAL_CREDIT, frame_cost};
 
-/// Version of this protocol; a peer of another major version is refused.
+/// Version of the protocol. A peer of another version is rejected.
 pub const PROTOCOL_VERSION: u32 = 1;
--- a/crates/wire/src/member.rs
+++ b/crates/wire/src/member.rs
@@ -1,4 +1,4 @@
-//! Members as frames carry them, and as the table of members holds them.
+//! Conversion between the members in frames and those in the member table.
 
 use onyxfall_policy::MemberHeartbeat;
 use onyxfall_types::Incarnation;
@@ -6,21 +6,21 @@
 use crate::message::MemberEntry;
 
 impl From<&MemberHeartbeat> for MemberEntry {
-    fn from(beat: &MemberHeartbeat) -> Self {
+    fn from(heartbeat: &MemberHeartbeat) -> Self {
         Self {
-            name: beat.name.to_string(),
-            center: beat.center.to_string(),
-            region: beat.region.to_string(),
-            incarnation: beat.incarnation.get(),
-            leaving: beat.leaving,
-            address: beat.address.to_string(),
-            peer_address: beat.peer_address.to_string(),
+            name: heartbeat.name.to_string(),
+            center: heartbeat.center.to_string(),
+            region: heartbeat.region.to_string(),
+            incarnation: heartbeat.incarnation.get(),
+            leaving: heartbeat.leaving,
+            address: heartbeat.address.to_string(),
+            peer_address: heartbeat.peer_address.to_string(),
         }
     }
 }
 
 impl MemberEntry {
-    /// The member; none if a field is malformed.
+    /// Converts the entry to a heartbeat of the member; none if a field is malformed.
     ///
     /// ```
     /// assert!(onyxfall_wire::MemberEntry::default().to_beat().is_none());
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,12 +1,15 @@
-//! The messages; fields are numbered for good, new ones get new numbers.
+//! Messages of the protocol.
+//!
+//! Invariant: the number of a field never changes and is never reused; a new field gets a
+//! new number, so that versions can be mixed.
 
 use bytes::Bytes;
 use prost::{Enumeration, Message, Oneof};
 
-/// One frame.
+/// One frame between two VMs.
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerFrame {
-    /// What it carries; absent if this version does not know it.
+    /// Payload of the frame; absent if its kind is unknown to this version.
     #[prost(
         oneof = "PeerPayload",
         tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 19, 20, 21, 22"
@@ -14,7 +17,7 @@
     pub payload: Option<PeerPayload>,
 }
 
-/// What a frame carries.
+/// Payload of a frame.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum PeerPayload {
     /// First frame in each direction.
@@ -23,58 +26,58 @@
     /// Starts an attempt.
     #[prost(message, tag = "2")]
     Open(OpenRequest),
-    /// Status and type of an answer.
+    /// Status and content type of a response.
     #[prost(message, tag = "3")]
     Head(ReplyHead),
-    /// Part of an answer.
+    /// Part of a response body.
     #[prost(message, tag = "4")]
     Data(ReplyData),
-    /// Allows more of an answer.
+    /// Grants credit for more of a response body.
     #[prost(message, tag = "5")]
     Credit(CreditGrant),
     /// Ends an attempt.
     #[prost(message, tag = "6")]
     End(ReplyEnd),
-    /// Gives an attempt up.
+    /// Cancels an attempt.
     #[prost(message, tag = "7")]
     Cancel(AttemptCancel),
     /// Heartbeat and load of an entry.
     #[prost(message, tag = "8")]
     Beat(EntryHeartbeat),
-    /// Answer to a heartbeat.
+    /// Response to a heartbeat or a ping.
     #[prost(message, tag = "9")]
     Pong(PongReply),
-    /// Load of a data centre, with grants for the receiver's.
+    /// Load of a data centre, with grants for the receiver's data centre.
     #[prost(message, tag = "10")]
     Load(CenterLoad),
-    /// Asks for region records.
+    /// Requests the region records.
     #[prost(message, tag = "11")]
     RecordsRequest(RecordsRequest),
     /// Region records.
     #[prost(message, tag = "12")]
     Records(RecordSet),
-    /// Asks for a bundle's text.
+    /// Requests the text of a bundle.
     #[prost(message, tag = "13")]
     ContentRequest(ContentRequest),
-    /// A bundle's text with its signatures.
+    /// Text of a bundle with its signatures.
     #[prost(message, tag = "14")]
     Content(ContentText),
-    /// Asks for a sign of life on a link that carries no heartbeats.
+    /// Requests a liveness signal on a link that carries no heartbeats.
     #[prost(message, tag = "15")]
     Ping(PingRequest),
-    /// Asks for the members of a data centre.
+    /// Requests the members of a data centre.
     #[prost(message, tag = "16")]
     MembersRequest(MembersRequest),
-    /// The members of a data centre.
+    /// Members of a data centre.
     #[prost(message, tag = "17")]
     Members(MemberSet),
-    /// What one VM of the overlay tells another.
+    /// Update from one VM of the overlay to another.
     #[prost(message, tag = "22")]
     Update(Box<VmUpdate>),
-    /// Asks for a copy of the store.
+    /// Requests a copy of the store.
     #[prost(message, tag = "19")]
     SnapshotRequest(SnapshotRequest),
-    /// A copy of the store.
+    /// Copy of the store, or a part of it.
     #[prost(message, tag = "20")]
     Snapshot(StoreSnapshot),
     /// Changes of the store, from a VM that watches it.
@@ -90,72 +93,72 @@
     }
 }
 
-/// Who is at the other end.
+/// Identity of the sender, exchanged when a connection opens.
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerHello {
-    /// [`crate::PROTOCOL_VERSION`].
+    /// [`crate::PROTOCOL_VERSION`] of the sender.
     #[prost(uint32, tag = "1")]
     pub protocol: u32,
     /// Name of the deployment.
     #[prost(string, tag = "2")]
     pub deployment: String,
-    /// The VM itself, among entries.
+    /// Member entry of the sender, between entries.
     #[prost(message, optional, tag = "3")]
     pub member: Option<MemberEntry>,
-    /// The VM itself, among gateways.
+    /// VM entry of the sender, between gateways.
     #[prost(message, optional, tag = "4")]
     pub vm: Option<VmEntry>,
 }
 
-/// A member as in a heartbeat.
+/// Member of a data centre, as in a heartbeat.
 #[derive(Clone, PartialEq, Message)]
 pub struct MemberEntry {
     /// Name of the VM.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Its data centre.
+    /// Data centre of the VM.
     #[prost(string, tag = "2")]
     pub center: String,
-    /// Its region.
+    /// Region of the VM.
     #[prost(string, tag = "3")]
     pub region: String,
-    /// Its life.
+    /// Incarnation of the VM.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
-    /// Whether it is stopping by plan.
+    /// Whether a planned shutdown of the VM is under way.
     #[prost(bool, tag = "5")]
     pub leaving: bool,
-    /// Where callers reach it.
+    /// Address of the VM for callers.
     #[prost(string, tag = "6")]
     pub address: String,
-    /// Where other entries reach it.
+    /// Address of the VM for other entries.
     #[prost(string, tag = "7")]
     pub peer_address: String,
 }
 
-/// Why a request is passed on.
+/// Reason for which a request is forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Enumeration)]
 #[repr(i32)]
 pub enum OpenMode {
-    /// Sent away for capacity; runs there or is refused.
+    /// Forwarded for capacity; the receiver runs or refuses it.
     Away = 0,
-    /// Passed to the issuer of its ticket.
+    /// Forwarded to the issuer of its ticket.
     Ticket = 1,
 }
 
-/// Starts an attempt; a request passed on once is never passed on again.
+/// Starts an attempt. A forwarded request is never forwarded again.
 #[derive(Clone, PartialEq, Message)]
 pub struct OpenRequest {
-    /// Attempt, unique in the sender's life.
+    /// Attempt id, unique within the sender's incarnation.
     #[prost(uint64, tag = "1")]
     pub attempt: u64,
-    /// Why it is passed on.
+    /// Reason for which the request is forwarded.
     #[prost(enumeration = "OpenMode", tag = "2")]
     pub mode: i32,
-    /// Request id.
+    /// Id of the request.
     #[prost(string, tag = "3")]
     pub request_id: String,
-    /// Request kind.
+    /// Kind of the request.
     #[prost(string, tag = "4")]
     pub kind: String,
     /// HTTP method.
@@ -167,16 +170,16 @@
     /// Content type of the body.
     #[prost(string, tag = "7")]
     pub content_type: String,
-    /// Body.
+    /// Body of the request.
     #[prost(bytes = "bytes", tag = "8")]
     pub body: bytes::Bytes,
     /// Home region; empty if the caller named none.
     #[prost(string, tag = "9")]
     pub home: String,
-    /// Regions in which the sender allows it.
+    /// Regions in which the sender allows the request to run.
     #[prost(string, repeated, tag = "10")]
     pub allowed: Vec<String>,
-    /// Time left until the deadline.
+    /// Time left until the deadline, in milliseconds.
     #[prost(uint64, tag = "11")]
     pub remaining_ms: u64,
     /// W3C trace context.
@@ -185,43 +188,43 @@
     /// Hash of the prompt prefix; 0 for none.
     #[prost(fixed64, tag = "13")]
     pub prefix: u64,
-    /// Ticket; empty for none.
+    /// Ticket of the request; empty for none.
     #[prost(string, tag = "14")]
     pub ticket: String,
 }
 
-/// Status and type of an answer.
+/// Status and content type of a response.
 #[derive(Clone, PartialEq, Message)]
 pub struct ReplyHead {
-    /// Attempt.
+    /// Attempt id.
     #[prost(uint64, tag = "1")]
     pub attempt: u64,
     /// HTTP status.
     #[prost(uint32, tag = "2")]
     pub status: u32,
-    /// Content type.
+    /// Content type of the response body.
     #[prost(string, tag = "3")]
     pub content_type: String,
 }
 
-/// Part of an answer.
+/// Part of a response body.
 #[derive(Clone, PartialEq, Message)]
 pub struct ReplyData {
-    /// Attempt.
+    /// Attempt id.
     #[prost(uint64, tag = "1")]
     pub attempt: u64,
-    /// Bytes, in order.
+    /// Bytes of the body, in order.
     #[prost(bytes = "bytes", tag = "2")]
     pub bytes: bytes::Bytes,
 }
 
-/// Allows more of an answer.
+/// Grants credit for more of a response body.
 #[derive(Clone, PartialEq, Message)]
 pub struct CreditGrant {
-    /// Attempt.
+    /// Attempt id.
     #[prost(uint64, tag = "1")]
     pub attempt: u64,
-    /// Further credit, in bytes.
+    /// Additional credit in bytes.
     #[prost(uint64, tag = "2")]
     pub bytes: u64,
 }
@@ -229,53 +232,53 @@
 /// Ends an attempt.
 #[derive(Clone, PartialEq, Message)]
 pub struct ReplyEnd {
-    /// Attempt.
+    /// Attempt id.
     #[prost(uint64, tag = "1")]
     pub attempt: u64,
     /// Verdict, in its header form.
     #[prost(string, tag = "2")]
     pub verdict: String,
-    /// Refusal reason; empty if the answer is whole.
+    /// Reason of a refusal; empty if the response is complete.
     #[prost(string, tag = "3")]
     pub reason: String,
-    /// Detail for people.
+    /// Human-readable detail.
     #[prost(string, tag = "4")]
     pub detail: String,
-    /// When to come back; 0 for no advice.
+    /// Delay in milliseconds after which to retry; 0 for no advice.
     #[prost(uint64, tag = "5")]
     pub retry_after_ms: u64,
 }
 
-/// Gives an attempt up.
+/// Cancels an attempt.
 #[derive(Clone, PartialEq, Message)]
 pub struct AttemptCancel {
-    /// Attempt.
+    /// Attempt id.
     #[prost(uint64, tag = "1")]
     pub attempt: u64,
 }
 
-/// Heartbeat and load of an entry, to the other entries of its data centre.
+/// Heartbeat and load of an entry, sent to the other entries of its data centre.
 #[derive(Clone, PartialEq, Message)]
 pub struct EntryHeartbeat {
-    /// Number within the sender's life.
+    /// Sequence number within the sender's incarnation.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
-    /// Whether the sender is stopping by plan.
+    /// Whether a planned shutdown of the sender is under way.
     #[prost(bool, tag = "2")]
     pub leaving: bool,
-    /// Reports of the servers that the sender observes.
+    /// Load of the servers that the sender observes.
     #[prost(message, repeated, tag = "3")]
     pub servers: Vec<ServerLoad>,
-    /// Work that waits in the sender, per model.
+    /// Load of work queued at the sender, by model.
     #[prost(message, repeated, tag = "4")]
     pub queues: Vec<ModelLoad>,
-    /// Drains that the sender knows.
+    /// Drains known to the sender.
     #[prost(message, repeated, tag = "5")]
     pub drains: Vec<DrainEntry>,
     /// Hash of the sender's region records.
     #[prost(fixed64, tag = "6")]
     pub records: u64,
-    /// Life of the receiver that the sender knows.
+    /// Incarnation of the receiver that is known to the sender.
     #[prost(uint64, tag = "7")]
     pub receiver_incarnation: u64,
     /// Hash of the serving members of the sender's data centre.
@@ -283,25 +286,25 @@
     pub members: u64,
 }
 
-/// Report of one server.
+/// Load of one server.
 #[derive(Clone, PartialEq, Message)]
 pub struct ServerLoad {
     /// [`onyxfall_types::name_tag`] of the server.
     #[prost(fixed32, tag = "1")]
     pub server: u32,
-    /// Life of the server.
+    /// Incarnation of the server.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Requests that it works on.
+    /// Number of requests that run on the server.
     #[prost(uint32, tag = "3")]
     pub running: u32,
-    /// Requests that wait in it.
+    /// Number of requests queued on the server.
     #[prost(uint32, tag = "4")]
     pub queued: u32,
-    /// Whether it is leaving.
+    /// Whether the server is draining.
     #[prost(bool, tag = "5")]
     pub draining: bool,
-    /// Whether it has stopped reporting.
+    /// Whether the server no longer reports.
     #[prost(bool, tag = "6")]
     pub silent: bool,
 }
@@ -312,46 +315,46 @@
     /// [`onyxfall_types::name_tag`] of the model.
     #[prost(fixed32, tag = "1")]
     pub model: u32,
-    /// Service time of what waits.
+    /// Service time of the queued requests, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub queued_ms: u32,
-    /// Free slots.
+    /// Number of free slots.
     #[prost(uint32, tag = "3")]
     pub free: u32,
-    /// Expected wait.
+    /// Expected wait in milliseconds.
     #[prost(uint32, tag = "4")]
     pub wait_ms: u32,
-    /// Requests that the receiver's data centre may have under way.
+    /// Number of requests that the receiver's data centre may have in flight.
     #[prost(uint32, tag = "5")]
     pub grant: u32,
-    /// Requests of other data centres under way, by center tag, flattened.
+    /// In-flight requests from other data centres: pairs of data centre tag and count, flattened.
     #[prost(uint32, repeated, tag = "6")]
     pub from_away: Vec<u32>,
 }
 
-/// A drain.
+/// Drain of one server.
 #[derive(Clone, PartialEq, Message)]
 pub struct DrainEntry {
     /// Name of the server.
     #[prost(string, tag = "1")]
     pub server: String,
-    /// Life that is leaving.
+    /// Incarnation of the server that is draining.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
 }
 
-/// Asks for a sign of life.
+/// Requests a liveness signal.
 #[derive(Clone, PartialEq, Message)]
 pub struct PingRequest {
-    /// Number that the answer repeats.
+    /// Sequence number that the response repeats.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
 }
 
-/// Answer to a heartbeat or a ping.
+/// Response to a heartbeat or a ping.
 #[derive(Clone, PartialEq, Message)]
 pub struct PongReply {
-    /// Number of the heartbeat.
+    /// Sequence number of the heartbeat or ping.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
 }
@@ -359,86 +362,87 @@
 /// Load of a data centre.
 #[derive(Clone, PartialEq, Message)]
 pub struct CenterLoad {
-    /// Its name.
+    /// Name of the data centre.
     #[prost(string, tag = "1")]
     pub center: String,
-    /// Order of its messages: seconds of the speaker's life and a number.
+    /// Order of the messages: seconds of the sender's incarnation, then a sequence number.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
-    /// Per model.
+    /// Load by model.
     #[prost(message, repeated, tag = "3")]
     pub models: Vec<ModelLoad>,
-    /// Round trip that the receiving entry measured, when it passes this on.
+    /// Round-trip time in microseconds as measured by the receiving entry, set when it relays
+    /// this message.
     #[prost(uint32, tag = "4")]
     pub rtt_us: u32,
-    /// Hash of the data centre's serving members.
+    /// Hash of the serving members of the data centre.
     #[prost(fixed64, tag = "5")]
     pub members: u64,
 }
 
-/// Asks for the members of a data centre.
+/// Requests the members of a data centre.
 #[derive(Clone, PartialEq, Message)]
 pub struct MembersRequest {
-    /// Its name.
+    /// Name of the data centre.
     #[prost(string, tag = "1")]
     pub center: String,
 }
 
-/// The serving members of a data centre, all of them.
+/// All serving members of a data centre.
 #[derive(Clone, PartialEq, Message)]
 pub struct MemberSet {
-    /// Its name.
+    /// Name of the data centre.
     #[prost(string, tag = "1")]
     pub center: String,
-    /// The members.
+    /// Serving members of the data centre.
     #[prost(message, repeated, tag = "2")]
     pub members: Vec<MemberEntry>,
 }
 
-/// Asks for region records.
+/// Requests the region records.
 #[derive(Clone, PartialEq, Message)]
 pub struct RecordsRequest {}
 
-/// Region records, as JSON.
+/// Region records.
 #[derive(Clone, PartialEq, Message)]
 pub struct RecordSet {
-    /// Each a region record in JSON.
+    /// Region records, each as JSON.
     #[prost(string, repeated, tag = "1")]
     pub records: Vec<String>,
 }
 
-/// Asks for a bundle's text.
+/// Requests the text of a bundle.
 #[derive(Clone, PartialEq, Message)]
 pub struct ContentRequest {
-    /// Its digest.
+    /// Digest of the bundle.
     #[prost(string, tag = "1")]
     pub digest: String,
 }
 
-/// A bundle's text with its signatures.
+/// Text of a bundle with its signatures.
 #[derive(Clone, PartialEq, Message)]
 pub struct ContentText {
-    /// A signed bundle in JSON; empty if the sender does not hold it.
+    /// Signed bundle as JSON; empty if the sender does not have it.
     #[prost(string, tag = "1")]
     pub bundle: String,
 }
 
-/// A VM as it describes itself.
+/// Description of a VM, issued by the VM itself.
 #[derive(Clone, PartialEq, Message)]
 pub struct VmEntry {
-    /// Its name.
+    /// Name of the VM.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Its data centre.
+    /// Data centre of the VM.
     #[prost(string, tag = "2")]
     pub center: String,
-    /// Its life.
+    /// Incarnation of the VM.
     #[prost(uint64, tag = "3")]
     pub incarnation: u64,
-    /// Changes within that life.
+    /// Number of changes to this description within the incarnation.
     #[prost(uint32, tag = "4")]
     pub change: u32,
-    /// Its address: four bytes, or sixteen.
+    /// IP address of the VM: 4 bytes, or 16.
     #[prost(bytes = "bytes", tag = "5")]
     pub ip: bytes::Bytes,
     /// Port for callers.
@@ -447,119 +451,124 @@
     /// Port for other VMs.
     #[prost(uint32, tag = "7")]
     pub peers_port: u32,
-    /// Thousandths of a core.
+    /// CPU capacity in thousandths of a core.
     #[prost(uint32, tag = "8")]
     pub millicores: u32,
-    /// Whether callers may be sent there.
+    /// Whether callers may be directed to the VM.
     #[prost(bool, tag = "9")]
     pub ready: bool,
-    /// Whether it is stopping by plan.
+    /// Whether a planned shutdown of the VM is under way.
     #[prost(bool, tag = "10")]
     pub leaving: bool,
-    /// Whether it watches the store and reaches it.
+    /// Whether the VM watches the store and can reach it.
     #[prost(bool, tag = "11")]
     pub watches_store: bool,
 }
 
-/// What one VM of the overlay tells another.
+/// Update from one VM of the overlay to another.
 #[derive(Clone, PartialEq, Message)]
 pub struct VmUpdate {
-    /// Whether the sender waits for the answer; without it, a member is told when it is due.
+    /// Whether the sender waits for the response. Without this flag, a member gets the next
+    /// update when it is due.
     #[prost(bool, tag = "13")]
     pub asks: bool,
-    /// What the sender is to the receiver, by the order of the relations.
+    /// Relation of the sender to the receiver, as an index into the list of relations.
     #[prost(uint32, tag = "1")]
     pub relation: u32,
-    /// What the sender says of itself, if that is news on the link.
+    /// Description of the sender, if it changed since it was last sent on the link.
     #[prost(message, optional, tag = "2")]
     pub record: Option<VmEntry>,
-    /// Which VMs live, if that is news on the link.
+    /// Changes of the roster, if there are any that were not yet sent on the link.
     #[prost(message, optional, tag = "3")]
     pub word: Option<VmRosterUpdate>,
-    /// Work at servers of the region, if the relation tells it.
+    /// Work at servers of the region, if the relation includes it.
     #[prost(message, optional, tag = "4")]
     pub work: Option<WorkSet>,
-    /// Whether the sender's sums are those of all its members.
+    /// Whether the sender's totals cover all its members.
     #[prost(bool, tag = "5")]
     pub is_warm: bool,
-    /// Hash of its copy of the store.
+    /// Hash of the sender's copy of the store.
     #[prost(fixed64, tag = "6")]
     pub copy_hash: u64,
-    /// Revision of its copy of the store.
+    /// Revision of the sender's copy of the store.
     #[prost(uint64, tag = "7")]
     pub copy_revision: u64,
-    /// Whether its copy holds everything.
+    /// Whether the sender's copy of the store is complete.
     #[prost(bool, tag = "8")]
     pub copy_is_whole: bool,
-    /// What was learned of services; not in every message.
+    /// Learned costs of services; not in every message.
     #[prost(message, repeated, tag = "9")]
     pub costs: Vec<ServiceCostEntry>,
-    /// What regions have free, if that is news on the link.
+    /// Free capacity of regions, if it changed since it was last sent on the link.
     #[prost(message, repeated, tag = "10")]
     pub regions: Vec<RegionLoadEntry>,
-    /// Requests that were on servers that broke off, if that is news on the link.
+    /// Requests that were on servers whose connection was lost, if they changed since they
+    /// were last sent on the link.
     #[prost(message, repeated, tag = "11")]
     pub suspects: Vec<SuspectEntry>,
-    /// Lives of servers that broke off, if that is news on the link.
+    /// Server instances whose connection was lost, if they changed since they were last sent
+    /// on the link.
     #[prost(message, repeated, tag = "12")]
     pub lost_lives: Vec<LostInstanceEntry>,
 }
 
-/// A request that was on servers that broke off.
+/// Request that was on servers whose connection was lost.
 #[derive(Clone, PartialEq, Message)]
 pub struct SuspectEntry {
-    /// Digest of its content and caller.
+    /// Digest of the request's content and caller.
     #[prost(bytes = "bytes", tag = "1")]
     pub fingerprint: Bytes,
-    /// Tags of the servers' lives.
+    /// Tags of the server instances.
     #[prost(fixed64, repeated, tag = "2")]
     pub lives: Vec<u64>,
-    /// How long ago each broke off, in milliseconds.
+    /// Time since the loss of each instance, in milliseconds.
     #[prost(uint32, repeated, tag = "3")]
     pub ages_ms: Vec<u32>,
-    /// How often each had survived before.
+    /// Number of survivals of each instance before this loss.
     #[prost(uint32, repeated, tag = "4")]
     pub survivals: Vec<u32>,
-    /// How often it ran to a good end after servers had broken off under it.
+    /// Number of times the request completed successfully after servers had been lost while
+    /// they ran it.
     #[prost(uint32, tag = "5")]
     pub good_runs: u32,
 }
 
-/// A life of a server that broke off.
+/// Server instance whose connection was lost.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct LostInstanceEntry {
-    /// Its tag.
+    /// Tag of the instance.
     #[prost(fixed64, tag = "1")]
     pub life: u64,
-    /// How often it gave a sign of life after it had broken off.
+    /// Number of times a liveness signal of the instance followed a loss.
     #[prost(uint32, tag = "2")]
     pub survivals: u32,
-    /// How long ago it broke off since the last of these, in milliseconds, if it did.
+    /// Time since the first loss after the last survival, in milliseconds; absent if there
+    /// was none.
     #[prost(uint32, optional, tag = "3")]
     pub lost_ms: Option<u32>,
 }
 
-/// Which VMs live: whole at first, then what has changed.
+/// Roster of live VMs: complete in the first message on a link, then the changes.
 #[derive(Clone, PartialEq, Message)]
 pub struct VmRosterUpdate {
-    /// Whom it names, by the order of the scopes.
+    /// Scope of the VMs that the update lists, as an index into the list of scopes.
     #[prost(uint32, tag = "1")]
     pub scope: u32,
-    /// Whether it replaces every earlier word on the link.
+    /// Whether this update replaces every earlier one on the link.
     #[prost(bool, tag = "2")]
     pub is_whole: bool,
-    /// VMs that are new, or have changed.
+    /// VMs that are new or have changed.
     #[prost(message, repeated, tag = "3")]
     pub vms: Vec<VmEntry>,
-    /// Names of VMs that are no longer vouched for.
+    /// Names of VMs that the sender no longer lists as live.
     #[prost(string, repeated, tag = "4")]
     pub gone: Vec<String>,
 }
 
-/// Work at servers: whole at first, then what has changed.
+/// Work at servers: complete in the first message on a link, then the changes.
 #[derive(Clone, PartialEq, Message)]
 pub struct WorkSet {
-    /// Whether servers that are not named have none.
+    /// Whether servers that are not listed have no work.
     #[prost(bool, tag = "1")]
     pub is_whole: bool,
     /// Work by server.
@@ -567,151 +576,153 @@
     pub servers: Vec<ServerWorkEntry>,
 }
 
-/// What a region has free.
+/// Free capacity of a region.
 #[derive(Clone, PartialEq, Message)]
 pub struct RegionLoadEntry {
-    /// Its name.
+    /// Name of the region.
     #[prost(string, tag = "1")]
     pub region: String,
-    /// Age of the word when it was sent.
+    /// Age of this entry when it was sent, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub age_ms: u32,
-    /// What is free, by service.
+    /// Free capacity by service.
     #[prost(message, repeated, tag = "3")]
     pub services: Vec<ServiceLoadEntry>,
-    /// What teams with limits ask of the region.
+    /// Demand on the region from teams with limits.
     #[prost(message, repeated, tag = "4")]
     pub teams: Vec<TeamDemandEntry>,
-    /// What came of requests during roll-outs.
+    /// Outcomes of requests during rollouts.
     #[prost(message, repeated, tag = "5")]
     pub evidence: Vec<EvidenceEntry>,
 }
 
-/// Counts of answers of one version on one route.
+/// Response counts of one version on one route.
 #[derive(Clone, PartialEq, Message)]
 pub struct EvidenceEntry {
-    /// Short name of the counts.
+    /// Tag of the counts.
     #[prost(fixed32, tag = "1")]
     pub tag: u32,
-    /// Answers, failures, those whose time is known, and the slow ones in steps.
+    /// Number of responses, of failures, of responses with a known time, and of slow ones in
+    /// steps.
     #[prost(uint64, repeated, tag = "2")]
     pub figures: Vec<u64>,
 }
 
-/// What one team asks of a region.
+/// Demand of one team on a region.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct TeamDemandEntry {
     /// Tag of the team's name.
     #[prost(fixed32, tag = "1")]
     pub team: u32,
-    /// Units of its limit a second.
+    /// Demand in units of the team's limit per second.
     #[prost(uint64, tag = "2")]
     pub demand: u64,
 }
 
-/// What a region has free of one service.
+/// Free capacity of a region for one service.
 #[derive(Clone, PartialEq, Message)]
 pub struct ServiceLoadEntry {
     /// Tag of the service's name.
     #[prost(fixed32, tag = "1")]
     pub service: u32,
-    /// Expected time to a first byte for a usual request, in milliseconds.
+    /// Expected time to first byte of a typical request, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub wait_ms: u32,
-    /// Servers that take work.
+    /// Number of servers that accept work.
     #[prost(uint32, tag = "3")]
     pub usable: u32,
-    /// Expected time between two events of an answer, in milliseconds.
+    /// Expected interval between two events of a response, in milliseconds.
     #[prost(uint32, tag = "4")]
     pub pace_ms: u32,
-    /// The part of the wait that is others' work, in milliseconds.
+    /// Part of the wait that is due to other requests, in milliseconds.
     #[prost(uint32, tag = "5")]
     pub backlog_ms: u32,
-    /// Thousandths of a request a second that a plain service has to spare.
+    /// Spare capacity of a plain service, in thousandths of a request per second.
     #[prost(uint32, tag = "6")]
     pub spare: u32,
 }
 
-/// Work of one VM, or of several, at one server.
+/// Work of one or several VMs at one server.
 #[derive(Clone, PartialEq, Message)]
 pub struct ServerWorkEntry {
     /// Tag of the server's name.
     #[prost(fixed32, tag = "1")]
     pub server: u32,
-    /// Requests under way.
+    /// Number of requests in flight.
     #[prost(uint32, tag = "2")]
     pub requests: u32,
-    /// Prompt tokens not yet read, by urgency from the most urgent on.
+    /// Prompt tokens pending prefill, by urgency, the most urgent first.
     #[prost(uint64, repeated, tag = "5")]
     pub unread: Vec<u64>,
-    /// Tokens of memory that the requests will hold.
+    /// Memory that the requests will occupy, in tokens.
     #[prost(uint64, tag = "4")]
     pub memory: u64,
-    /// Tokens a second that flow into the server's memory.
+    /// Rate at which the server's memory fills, in tokens per second.
     #[prost(uint64, tag = "6")]
     pub flow: u64,
-    /// VMs that have had a sign of life of the server lately.
+    /// Number of VMs with a recent liveness signal from the server.
     #[prost(uint32, tag = "7")]
     pub good: u32,
-    /// VMs that miss one.
+    /// Number of VMs that lost a connection to the server since, or whose response is long
+    /// overdue.
     #[prost(uint32, tag = "8")]
     pub bad: u32,
-    /// VMs that have read in its answers how many requests a second it takes.
+    /// Number of VMs that received the server's request rate limit in its responses.
     #[prost(uint32, tag = "9")]
     pub limit_vms: u32,
-    /// Sum of what they read, in thousandths of a request a second.
+    /// Sum of the limits that these VMs received, in thousandths of a request per second.
     #[prost(uint64, tag = "10")]
     pub limit_thousandths: u64,
 }
 
-/// What a VM has learned of the costs of a service.
+/// Learned costs of a service.
 #[derive(Clone, PartialEq, Message)]
 pub struct ServiceCostEntry {
     /// Tag of the service's name.
     #[prost(fixed32, tag = "1")]
     pub service: u32,
-    /// Weights of the time to a first byte.
+    /// Weights of the time to first byte.
     #[prost(float, repeated, tag = "2")]
     pub first: Vec<f32>,
-    /// Answers behind them.
+    /// Number of responses behind `first`.
     #[prost(uint32, tag = "3")]
     pub first_samples: u32,
-    /// Weights of the time between two events.
+    /// Weights of the interval between two events.
     #[prost(float, repeated, tag = "4")]
     pub pace: Vec<f32>,
-    /// Answers behind them.
+    /// Number of responses behind `pace`.
     #[prost(uint32, tag = "5")]
     pub pace_samples: u32,
-    /// Milliseconds of a request to a plain service.
+    /// Duration of a request to a plain service, in milliseconds.
     #[prost(float, tag = "6")]
     pub plain_ms: f32,
-    /// Answers behind it.
+    /// Number of responses behind `plain_ms`.
     #[prost(uint32, tag = "7")]
     pub plain_samples: u32,
-    /// VMs behind all of these.
+    /// Number of VMs behind all of these values.
     #[prost(uint32, tag = "8")]
     pub vms: u32,
 }
 
-/// Asks for the peer's copy of the store.
+/// Requests the peer's copy of the store.
 #[derive(Clone, PartialEq, Message)]
 pub struct SnapshotRequest {
-    /// Whether the one who asks understands packed items.
+    /// Whether the sender supports packed items.
     #[prost(bool, tag = "1")]
     pub takes_packed: bool,
 }
 
-/// A copy of the store.
+/// Copy of the store, or a part of it.
 #[derive(Clone, PartialEq, Message)]
 pub struct StoreSnapshot {
-    /// Revision that it reflects.
+    /// Revision of the store that the copy reflects.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Its items.
+    /// Items that are not packed.
     #[prost(message, repeated, tag = "2")]
     pub items: Vec<SnapshotItem>,
-    /// Whether what is missing in it is gone for good: the sender's copy is current,
-    /// and holds no item that may come back.
+    /// Whether items missing from the copy are permanently deleted: the sender's copy is
+    /// current and has no item that may reappear.
     #[prost(bool, tag = "3")]
     pub is_steady: bool,
     /// Number of this part of the copy; the first is 0.
@@ -720,13 +731,13 @@
     /// Whether further parts follow.
     #[prost(bool, tag = "5")]
     pub has_more: bool,
-    /// Items that are packed, beside those that are not.
+    /// Packed items, in addition to `items`.
     #[prost(bytes = "bytes", tag = "6")]
     pub packed: bytes::Bytes,
 }
 
 impl StoreSnapshot {
-    /// Its bytes in a frame.
+    /// Encoded length of the message in bytes.
     ///
     /// ```
     /// use onyxfall_wire::StoreSnapshot;
@@ -740,22 +751,22 @@
 /// Changes of a copy of the store.
 #[derive(Clone, PartialEq, Message)]
 pub struct StoreDelta {
-    /// Revision that the sender's copy reflects.
+    /// Revision of the store that the sender's copy reflects.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Items as they were written; large ones are left out.
+    /// Items as written to the store; large ones are omitted.
     #[prost(message, repeated, tag = "2")]
     pub items: Vec<SnapshotItem>,
-    /// Keys that are gone.
+    /// Keys of deleted items.
     #[prost(string, repeated, tag = "3")]
     pub removed: Vec<String>,
     /// Revision of the sender's copy before these changes.
     #[prost(uint64, tag = "4")]
     pub base: u64,
-    /// Whether items were left out for their size.
+    /// Whether items were omitted for their size.
     #[prost(bool, tag = "5")]
     pub is_partial: bool,
-    /// The items that were left out, packed; empty if they are too large for that.
+    /// The omitted items, packed; empty if they are too large even then.
     #[prost(bytes = "bytes", tag = "6")]
     pub packed: bytes::Bytes,
 }
@@ -763,13 +774,13 @@
 /// One item of a copy of the store.
 #[derive(Clone, PartialEq, Message)]
 pub struct SnapshotItem {
-    /// Key.
+    /// Key of the item.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Value.
+    /// Value of the item.
     #[prost(bytes = "bytes", tag = "2")]
     pub value: bytes::Bytes,
-    /// Revision of its last change.
+    /// Revision of the item's last change.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
 }
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames: what is written is read, and nothing malformed is taken.
+//! Frames: written frames are read back unchanged, and malformed ones are rejected.
 
 use bytes::Bytes;
 use onyxfall_wire::{
@@ -7,7 +7,7 @@
 };
 use proptest::prelude::*;
 
-fn written(frame: &PeerFrame) -> Vec<u8> {
+fn encode(frame: &PeerFrame) -> Vec<u8> {
     let mut writer = FrameWriter::new(Vec::new());
     writer.write(frame).unwrap();
     writer.stream().clone()
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn malformed_frames_are_refused() {
-    let good = written(&PeerPayload::Pong(PongReply { sequence: 1 }).into());
+fn malformed_frames_are_rejected() {
+    let good = encode(&PeerPayload::Pong(PongReply { sequence: 1 }).into());
     let too_large = u32::try_from(MAX_FRAME + 1).unwrap().to_be_bytes().to_vec();
     let cases = [
         FaultCase {
@@ -30,12 +30,12 @@
             expected: "closed",
         },
         FaultCase {
-            name: "cut in the length",
+            name: "truncated length",
             bytes: good[..2].to_vec(),
             expected: "closed within a frame",
         },
         FaultCase {
-            name: "cut in the body",
+            name: "truncated body",
             bytes: good[..good.len() - 1].to_vec(),
             expected: "closed within a frame",
         },
@@ -64,7 +64,7 @@
 
 #[test]
 fn an_unknown_payload_is_skipped() {
-    // Field 100 of type string: a payload of a later version.
+    // Field 100 of type string, which stands for a payload of a later version.
     let body = [0xa2, 0x06, 0x01, b'x'];
     let mut bytes = vec![0, 0, 0, 4];
     bytes.extend(body);
@@ -81,7 +81,10 @@
     let mut writer = FrameWriter::new(Vec::new());
     let error = writer.write(&PeerPayload::Open(open).into()).unwrap_err();
     assert!(matches!(error, FrameError::TooLarge));
-    assert!(writer.stream().is_empty(), "nothing of it was written");
+    assert!(
+        writer.stream().is_empty(),
+        "no part of the frame was written"
+    );
 }
 
 fn config() -> ProptestConfig {
@@ -97,17 +100,17 @@
     #![proptest_config(config())]
 
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_read_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut reader = FrameReader::new(bytes.as_slice());
         while reader.read().is_ok() {}
     }
 
     #[test]
-    fn frames_come_back_in_order(parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..100), 1..10)) {
+    fn frames_are_read_in_the_order_written(parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..100), 1..10)) {
         let mut bytes = Vec::new();
         for (i, part) in parts.iter().enumerate() {
             let data = ReplyData { attempt: i as u64, bytes: Bytes::from(part.clone()) };
-            bytes.extend(written(&PeerPayload::Data(data).into()));
+            bytes.extend(encode(&PeerPayload::Data(data).into()));
         }
         let mut reader = FrameReader::new(bytes.as_slice());
         for (i, part) in parts.iter().enumerate() {
--- a/crates/wire/tests/packed.rs
+++ b/crates/wire/tests/packed.rs
@@ -1,4 +1,5 @@
-//! Packed items of a copy: what comes out is what went in, and bad bytes cost an error.
+//! Packed items of a store copy: unpacking restores the items, and malformed bytes are an
+//! error.
 
 use std::io::Write;
 
@@ -15,40 +16,40 @@
     }
 }
 
-fn deflated(plain: &[u8]) -> Vec<u8> {
+fn deflate(plain: &[u8]) -> Vec<u8> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(plain).unwrap();
     encoder.finish().unwrap()
 }
 
-struct BadCase {
+struct FaultCase {
     name: &'static str,
     packed: Vec<u8>,
     is_expected: fn(&PackError) -> bool,
 }
 
 #[test]
-fn bad_bytes_are_told_apart() {
+fn malformed_bytes_fail_with_the_matching_error() {
     let whole = pack_items((0..50).map(item).collect()).unwrap();
     let cases = [
-        BadCase {
-            name: "no stream",
+        FaultCase {
+            name: "not a deflate stream",
             packed: vec![0xff; 40],
             is_expected: |e| matches!(e, PackError::Stream(_)),
         },
-        BadCase {
-            name: "cut off",
+        FaultCase {
+            name: "truncated",
             packed: whole[..whole.len() / 2].to_vec(),
             is_expected: |e| matches!(e, PackError::Stream(_) | PackError::Malformed(_)),
         },
-        BadCase {
-            name: "no items",
-            packed: deflated(&[0xff; 64]),
+        FaultCase {
+            name: "not a list of items",
+            packed: deflate(&[0xff; 64]),
             is_expected: |e| matches!(e, PackError::Malformed(_)),
         },
-        BadCase {
-            name: "a bomb",
-            packed: deflated(&vec![0; 4 * MAX_FRAME]),
+        FaultCase {
+            name: "decompression bomb",
+            packed: deflate(&vec![0; 4 * MAX_FRAME]),
             is_expected: |e| matches!(e, PackError::TooLarge),
         },
     ];
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn items_that_would_not_be_unpacked_are_not_packed() {
+fn items_too_large_to_unpack_are_not_packed() {
     let large = SnapshotItem {
         value: vec![0; MAX_FRAME].into(),
         ..item(1)
@@ -74,7 +75,7 @@
     })]
 
     #[test]
-    fn items_come_out_as_they_went_in(values in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 0..40)) {
+    fn packed_items_are_unpacked_unchanged(values in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 0..40)) {
         let items: Vec<SnapshotItem> = values
             .into_iter()
             .zip(1..)
@@ -85,7 +86,7 @@
     }
 
     #[test]
-    fn any_bytes_are_borne(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = unpack_items(&bytes);
     }
 }
