--- a/crates/fakes/src/control.rs
+++ b/crates/fakes/src/control.rs
@@ -18,7 +18,7 @@
 }
 
 /// Parses faults from a JSON body and passes them to `set`.
-pub(crate) fn take_faults<T: DeserializeOwned>(
+pub(crate) fn apply_faults<T: DeserializeOwned>(
     mut request: HttpRequest,
     responder: Responder,
     set: impl FnOnce(T),
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -14,7 +14,7 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use crate::control::{BODY_LIMIT, send, take_faults};
+use crate::control::{BODY_LIMIT, apply_faults, send};
 use crate::slots::{SlotGate, SlotLoad};
 
 const DEFAULT_TOKENS: u64 = 8;
@@ -149,7 +149,7 @@
     match request.path() {
         "/load" => send(responder, 200, &load_report(shared)),
         "/fake/control" => {
-            take_faults(request, responder, |faults| {
+            apply_faults(request, responder, |faults| {
                 shared.state.lock().faults = faults;
             });
         }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,8 +1,8 @@
 //! Stubs of the systems around onyxfall, for tests, the try-out and experiments; not part
 //! of the product.
 //!
-//! Each stub listens on loopback and accepts its faults through a shared
-//! handle, or over HTTP at `/fake/control` when it runs in another process.
+//! Each stub listens on loopback. Its faults are set through a shared handle, or over HTTP
+//! at `/fake/control` when it runs in another process.
 
 mod control;
 mod copies;
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -16,7 +16,7 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use crate::control::{BODY_LIMIT, send, take_faults};
+use crate::control::{BODY_LIMIT, apply_faults, send};
 
 const VALUE_LIMIT: usize = 1024 * 1024;
 const WATCH_POLL: Duration = Duration::from_millis(20);
@@ -30,9 +30,9 @@
     pub outage: bool,
     /// Delay of every response.
     pub delay_ms: u64,
-    /// Number of next writes that take effect but whose response is lost.
+    /// Number of future writes that take effect but whose response is lost.
     pub lose_answers: u32,
-    /// Number of next calls that are rejected with 429.
+    /// Number of future calls that are rejected with 429.
     pub refuse_calls: u32,
 }
 
@@ -132,7 +132,7 @@
 fn handle(shared: &Arc<Mutex<PlatformState>>, mut request: HttpRequest, responder: Responder) {
     let path = request.path().to_owned();
     if path == "/fake/control" {
-        return take_faults(request, responder, |faults| shared.lock().faults = faults);
+        return apply_faults(request, responder, |faults| shared.lock().faults = faults);
     }
     let body = request.read_body(BODY_LIMIT).unwrap_or_default();
     let delay = shared.lock().faults.delay_ms;
--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -79,7 +79,7 @@
     /// Id of the caller's attempt.
     pub request_id: String,
     /// Signals in the response to the request.
-    pub said: StubSignals,
+    pub signals: StubSignals,
 }
 
 /// Body of a request that crashes the server that runs it.
@@ -261,7 +261,7 @@
         at: Instant::now(),
         from: from.map_or(Ipv4Addr::UNSPECIFIED.into(), |peer| peer.0.ip()),
         request_id: call.request_id.clone(),
-        said: StubSignals::default(),
+        signals: StubSignals::default(),
     });
     state.arrivals.len()
 }
@@ -278,9 +278,11 @@
     }
     let number = record_arrival(&state, head.extensions.get(), &call);
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let mut said = state.lock().signals;
-    said.rest = said.rest.filter(|rest| number.is_multiple_of(rest.every));
-    let mut response = if let Some(rest) = said.rest {
+    let mut signals = state.lock().signals;
+    signals.rest = signals
+        .rest
+        .filter(|rest| number.is_multiple_of(rest.every));
+    let mut response = if let Some(rest) = signals.rest {
         let mut rejection = whole(StatusCode::SERVICE_UNAVAILABLE, "");
         mark_not_run(rejection.headers_mut());
         set_retry_after(rejection.headers_mut(), rest.seconds);
@@ -288,14 +290,14 @@
     } else {
         run(Arc::clone(&state), crash, &head, call, body).await?
     };
-    if said.is_leaving {
+    if signals.is_leaving {
         mark_draining(response.headers_mut());
     }
-    if let Some(limit) = said.limit {
+    if let Some(limit) = signals.limit {
         set_server_limit(response.headers_mut(), limit);
     }
     // A request without a response has received no signals.
-    state.lock().arrivals[number - 1].said = said;
+    state.lock().arrivals[number - 1].signals = signals;
     Ok(response)
 }
 
--- a/crates/fakes/src/service.rs
+++ b/crates/fakes/src/service.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use serde_json::json;
 
-use crate::control::{BODY_LIMIT, send, take_faults};
+use crate::control::{BODY_LIMIT, apply_faults, send};
 use crate::slots::SlotGate;
 
 /// Settings of a service.
@@ -120,7 +120,7 @@
         }
         "/fake/control" => {
             let set = |faults| shared.state.lock().faults = faults;
-            return take_faults(request, responder, set);
+            return apply_faults(request, responder, set);
         }
         "/fake/runs" => {
             let runs = json!({"runs": shared.state.lock().runs});
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -23,18 +23,18 @@
 
 use crate::serving::{ServingThread, StopSignal};
 
-/// Longest time that the stub keeps a watch open; tests need no longer one.
+/// Longest time that the stub keeps a watch open; no test needs a longer one.
 const LONGEST_WATCH: Duration = Duration::from_millis(500);
 
 /// How the store behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreMode {
-    /// Answers every call.
+    /// Responds to every call.
     #[default]
     Normal,
     /// Rejects every call with 503.
     Refusing,
-    /// Answers no call.
+    /// Responds to no call.
     Unresponsive,
 }
 
--- a/crates/gateway/tests/backoff.rs
+++ b/crates/gateway/tests/backoff.rs
@@ -1,10 +1,12 @@
 //! A server that rejects a request and asks for backoff gets no requests until it ends.
 //!
 //! Guards against a VM that treats each such rejection as a server that is full for a
-//! moment. Four of twelve model servers rejected everything and asked for a backoff of three
-//! seconds, but a VM paused for only 0.12 s each time and sent 11 requests within one
-//! backoff. Each rejection cost the caller a millisecond, or two round trips to another
-//! region, and part of the retry budget.
+//! moment. Four of twelve model servers rejected everything with a 503 that named a backoff
+//! of three seconds, but still received 20 to 36 requests a second. A VM paused for only
+//! 0.12 s each time and sent 11 requests within one backoff. In its log, rejections by one
+//! server followed each other by 0.12 to 0.30 s while eight other servers were healthy: the
+//! VM kept its fixed pause, and the pause was too short. Each rejection cost the caller a
+//! millisecond, or two round trips to another region, and part of the retry budget.
 
 mod support;
 
--- a/crates/gateway/tests/draining.rs
+++ b/crates/gateway/tests/draining.rs
@@ -3,8 +3,10 @@
 //! Guards against a VM that learns of draining only from the store. During a store outage of
 //! thirteen seconds a server started to drain. Its entry could not be updated, but each of
 //! its responses carried the draining signal. The VM ignored the signal and kept choosing
-//! the server, mostly as the prefix holder; requests reached it up to 3.7 s after the first
-//! such response and would have been cut off at its end.
+//! the server, mostly as the prefix holder. The server received up to 13 requests in one
+//! second. Requests reached it 3.4 and 3.7 s after the first such response, one of them
+//! forwarded by another region, and would have been cut off at its end. They took 60 ms to
+//! arrive, so none had waited with its server already chosen.
 
 mod support;
 
--- a/crates/load/src/arrivals.rs
+++ b/crates/load/src/arrivals.rs
@@ -53,8 +53,8 @@
     mut rng: StdRng,
     arrivals: &mut Vec<PlannedArrival>,
 ) {
-    let rush = &scenario.regions[region].rush;
-    let peak = scenario.kinds[kind].rate.per_second() * rush.peak();
+    let rate_shape = &scenario.regions[region].rate_shape;
+    let peak = scenario.kinds[kind].rate.per_second() * rate_shape.peak();
     if peak <= 0.0 {
         return;
     }
@@ -65,7 +65,7 @@
         if at >= scenario.duration {
             return;
         }
-        let kept = rng.random::<f64>() < rush.factor(at) / rush.peak();
+        let kept = rng.random::<f64>() < rate_shape.factor(at) / rate_shape.peak();
         let prefix = rng.random_range(0..scenario.kinds[kind].prefixes);
         let entry = rng.random_range(0..scenario.regions[region].entries.len());
         if kept {
--- a/crates/load/src/scenario.rs
+++ b/crates/load/src/scenario.rs
@@ -10,7 +10,7 @@
 
 /// Rate over time, as a step function of factors.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RushShape {
+pub struct RateShape {
     /// Steps in order of time.
     pub steps: Vec<RateStep>,
 }
@@ -24,13 +24,13 @@
     pub factor: f64,
 }
 
-impl RushShape {
+impl RateShape {
     /// The factor at the time `at`.
     ///
     /// ```
-    /// use onyxfall_load::RushShape;
+    /// use onyxfall_load::RateShape;
     /// use std::time::Duration;
-    /// let shape: RushShape = "0:0.5 1000:2".parse().unwrap();
+    /// let shape: RateShape = "0:0.5 1000:2".parse().unwrap();
     /// assert_eq!(shape.factor(Duration::from_millis(1500)), 2.0);
     /// ```
     pub fn factor(&self, at: Duration) -> f64 {
@@ -50,7 +50,7 @@
     }
 }
 
-impl FromStr for RushShape {
+impl FromStr for RateShape {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -82,7 +82,7 @@
     /// Admin addresses of the entries, for their metrics.
     pub admins: Vec<SocketAddr>,
     /// Factor of the callers' rate over time.
-    pub rush: RushShape,
+    pub rate_shape: RateShape,
 }
 
 /// How a caller retries a rejected or lost request.
@@ -238,20 +238,20 @@
             );
         }
         let admins = reader.list("admins", faults);
-        let flat = RushShape {
+        let flat = RateShape {
             steps: vec![RateStep {
                 at: Duration::ZERO,
                 factor: 1.0,
             }],
         };
-        let rush = reader.or_default("rush", flat, faults);
+        let rate_shape = reader.or_default("rush", flat, faults);
         reader.finish(faults);
         if let Some(name) = name {
             scenario.regions.push(LoadRegion {
                 name,
                 entries,
                 admins,
-                rush,
+                rate_shape,
             });
         }
     }
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -12,7 +12,7 @@
 /// Statuses that guarantee that a request has not run and never will.
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 /// Body of a plain response of the stub.
-const PLAIN_ANSWER: &str = "answer";
+const PLAIN_RESPONSE: &str = "answer";
 
 /// A promise that was broken.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -22,12 +22,12 @@
     /// A caller received a status that guarantees that its request had not run, but it had.
     FalseNotRun(String, u16),
     /// A caller received the response to another request, or one that no server sent.
-    WrongAnswer(String, String),
+    WrongResponse(String, String),
     /// A stream has a gap, or ended regularly before its last event.
     BrokenStream(String, String),
     /// A VM reverted to an older configuration.
     Reverted(String),
-    /// A gateway process ended without being told to.
+    /// A gateway process exited without a shutdown signal.
     Exited(String),
     /// Something did not recover after the faults.
     NotRecovered(String),
@@ -39,10 +39,10 @@
     SentDuringBackoff(String),
     /// A server received more requests than the limit that it had signalled.
     SentBeyondLimit(String),
-    /// A server received another team than the one that holds the caller's key.
+    /// A server received the name of a team that does not own the caller's key.
     WrongTeam(String, Option<String>),
     /// A server received a caller's key.
-    KeyPassedOn(String),
+    KeyForwarded(String),
 }
 
 impl fmt::Display for BrokenPromise {
@@ -51,7 +51,7 @@
     }
 }
 
-/// The checks of one run, fed while the run goes on.
+/// The checks of one run, updated during the run.
 #[derive(Default)]
 pub(crate) struct PromiseChecks {
     runs: BTreeMap<String, usize>,
@@ -76,7 +76,7 @@
             self.record(BrokenPromise::WrongTeam(id.clone(), run.team.clone()));
         }
         if run.has_key {
-            self.record(BrokenPromise::KeyPassedOn(id.clone()));
+            self.record(BrokenPromise::KeyForwarded(id.clone()));
         }
     }
 
@@ -88,22 +88,22 @@
             self.reported_not_run.insert(report.id.clone(), status);
         }
         if (200..300).contains(&status) {
-            self.check_answer(&report);
+            self.check_response(&report);
         }
         self.kinds.insert(report.id, report.kind);
     }
 
-    fn check_answer(&mut self, report: &CallReport) {
+    fn check_response(&mut self, report: &CallReport) {
         let id = report.id.clone();
         if !report.is_own {
-            let broken = BrokenPromise::WrongAnswer(id, "not its own".to_owned());
+            let broken = BrokenPromise::WrongResponse(id, "not its own".to_owned());
             self.record(broken);
             return;
         }
         let whole = if report.kind.is_stream() {
             ServerStub::whole_stream()
         } else {
-            PLAIN_ANSWER.to_owned()
+            PLAIN_RESPONSE.to_owned()
         };
         let is_right = if report.is_whole {
             report.body == whole
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -29,7 +29,7 @@
 const SERVICE: &str = "svc";
 /// Number of regions; gateways and servers are assigned to them in turn.
 const REGIONS: usize = 3;
-/// Time in which a gateway must end after it was told to shut down, in seconds.
+/// Time in which a gateway must exit after a shutdown signal, in seconds.
 const STOP_GRACE_S: u64 = 3;
 
 /// Kinds of requests; each has a path prefix of its own.
@@ -107,7 +107,7 @@
     child: Option<Child>,
     /// Number of times that the gateway was started.
     pub(crate) incarnation: u64,
-    /// Whether the process was told to end.
+    /// Whether the process was sent a shutdown signal.
     is_ending: bool,
     /// Link between callers and the gateway.
     pub(crate) caller_link: FaultyLink,
@@ -403,7 +403,7 @@
         Ok(())
     }
 
-    /// Advances a VM's clock; its gateway applies that when it reloads its settings.
+    /// Advances a VM's clock; its gateway applies the change when it reloads its settings.
     pub(crate) fn move_clock(&self, vm: usize, seconds: u64) -> io::Result<()> {
         {
             let mut state = self.vms[vm].lock();
@@ -433,7 +433,7 @@
     ///
     /// # Errors
     ///
-    /// The process has ended without being told to.
+    /// The process has exited without a shutdown signal.
     pub(crate) fn reap(&self, vm: usize) -> Result<bool, ExitStatus> {
         let mut state = self.vms[vm].lock();
         let Some(child) = &mut state.child else {
--- a/crates/soak/src/limits.rs
+++ b/crates/soak/src/limits.rs
@@ -24,7 +24,7 @@
 const PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
 /// A period in which every response of a server carried a limit.
-struct LimitedTime<'a> {
+struct LimitedPeriod<'a> {
     /// The largest limit of the period, in requests per second.
     rate: f64,
     arrivals: Vec<&'a ArrivedRequest>,
@@ -38,11 +38,11 @@
         vms: &[IpAddr],
     ) -> Vec<BrokenPromise> {
         let mut broken = Vec::new();
-        for limited in limited_times(&instance.arrivals) {
+        for limited in limited_periods(&instance.arrivals) {
             let counted = self.counted(&limited, instance.server, vms);
             self.limited += usize::from(!counted.is_empty());
             broken.extend(WINDOWS.into_iter().filter_map(|window| {
-                let most = busiest(&counted, window);
+                let most = max_in_window(&counted, window);
                 let allowed = 1.5 * limited.rate * window.as_secs_f64() + SLACK;
                 (most as f64 > allowed).then(|| {
                     let InstanceArrivals { server, instance, .. } = instance;
@@ -56,7 +56,7 @@
     }
 
     /// Arrival times of the requests that count against the limit.
-    fn counted(&self, limited: &LimitedTime<'_>, server: usize, vms: &[IpAddr]) -> Vec<Instant> {
+    fn counted(&self, limited: &LimitedPeriod<'_>, server: usize, vms: &[IpAddr]) -> Vec<Instant> {
         let Some(first) = limited.arrivals.first() else {
             return Vec::new();
         };
@@ -85,12 +85,12 @@
 }
 
 /// Periods of consecutive arrivals whose responses carried a limit.
-fn limited_times(arrivals: &[ArrivedRequest]) -> Vec<LimitedTime<'_>> {
-    let rate_of = |arrived: &ArrivedRequest| arrived.said.limit?.parse::<f64>().ok();
+fn limited_periods(arrivals: &[ArrivedRequest]) -> Vec<LimitedPeriod<'_>> {
+    let rate_of = |arrived: &ArrivedRequest| arrived.signals.limit?.parse::<f64>().ok();
     let chunks = arrivals.chunk_by(|a, b| rate_of(a).is_some() == rate_of(b).is_some());
     let times = chunks.filter_map(|chunk| {
         let rate = chunk.iter().filter_map(rate_of).reduce(f64::max)?;
-        Some(LimitedTime {
+        Some(LimitedPeriod {
             rate,
             arrivals: chunk.iter().collect(),
         })
@@ -99,7 +99,7 @@
 }
 
 /// The largest number of moments within one window.
-fn busiest(moments: &[Instant], window: Duration) -> usize {
+fn max_in_window(moments: &[Instant], window: Duration) -> usize {
     let within = |(index, first): (usize, &Instant)| {
         let later = &moments[index..];
         later.iter().take_while(|at| **at < *first + window).count()
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -19,17 +19,17 @@
 const FAULT_PAUSE_MS: u64 = 400;
 /// Delay before the first fault, so that every gateway is serving by then.
 const LEAD: Duration = Duration::from_secs(1);
-/// Faults of server entries are drawn in a separate series, so that the other faults of a
-/// seed stay the same as before this series was added.
+/// Faults of server entries are drawn in a separate series, so that a seed gives the same
+/// other faults with and without this series.
 const ENTRY_SERIES: u64 = 0x656e_7472_7965_7321;
-/// Mean time between the starts of two of these faults, in milliseconds.
+/// Mean time between the starts of two faults of server entries, in milliseconds.
 const ENTRY_PAUSE_MS: u64 = 1200;
 /// Number of kinds of foreign entries.
 const FOREIGN_KINDS: usize = 15;
 
 /// Signals of servers are drawn in a separate series, for the same reason.
 const SIGNAL_SERIES: u64 = 0x776f_7264_735f_7331;
-/// Mean time between the starts of two of these faults, in milliseconds.
+/// Mean time between the starts of two signal faults, in milliseconds.
 const SIGNAL_PAUSE_MS: u64 = 450;
 /// Backoffs that servers ask for, in seconds: whole, fractional and malformed.
 const BACKOFFS: [&str; 6] = ["1", "0.7", "2", "1.25", "-1", "soon"];
@@ -38,7 +38,7 @@
 
 /// Limits of servers are drawn in a separate series, for the same reason.
 const LIMIT_SERIES: u64 = 0x6c69_6d69_7473_5f31;
-/// Mean time between the starts of two of these faults, in milliseconds, and the range
+/// Mean time between the starts of two limit faults, in milliseconds, and the range
 /// of their duration: it must continue after every VM has received the limit.
 const LIMIT_PAUSE_MS: u64 = 1800;
 const LIMIT_MS: std::ops::Range<u64> = 1500..5000;
@@ -47,12 +47,12 @@
 
 /// Restores of the store are drawn in a separate series, for the same reason.
 const RESTORE_SERIES: u64 = 0x7265_7374_6f72_6531;
-/// Mean time between the starts of two of these faults, in milliseconds.
+/// Mean time between the starts of two restores, in milliseconds.
 const RESTORE_PAUSE_MS: u64 = 3000;
 
 /// Suspensions are drawn in a separate series, for the same reason.
 const SUSPENSION_SERIES: u64 = 0x6177_6179_5f73_6572;
-/// Mean time between the starts of two of these faults, in milliseconds.
+/// Mean time between the starts of two suspensions, in milliseconds.
 const SUSPENSION_PAUSE_MS: u64 = 1700;
 /// Seconds by which a suspended VM's clock is advanced.
 const SUSPENSION_S: std::ops::RangeInclusive<u64> = 1..=60;
@@ -71,14 +71,14 @@
 pub(crate) enum Fault {
     /// The gateway is killed, and restarted when the fault ends.
     Kill(usize),
-    /// The gateway is told to shut down, and restarted once it has ended.
-    Stop(usize),
+    /// The gateway is sent a shutdown signal, and restarted once it has exited.
+    Shutdown(usize),
     /// The gateway is paused.
     Pause(usize),
     /// The gateway is paused, and its clock is advanced by the given seconds afterwards, as
     /// after a suspension of the VM.
     Suspend(usize, u64),
-    /// The gateway is told to reload its settings.
+    /// The gateway is sent a signal to reload its settings.
     Reload(usize),
     /// Sets the mode of the link between a gateway and the store.
     StoreLink(usize, LinkMode),
@@ -117,7 +117,7 @@
     pub(crate) fn is_momentary(self) -> bool {
         matches!(
             self,
-            Self::Stop(_)
+            Self::Shutdown(_)
                 | Self::Reload(_)
                 | Self::CompactHistory
                 | Self::Replace(_)
@@ -255,7 +255,7 @@
     let server = rng.random_range(0..size.servers);
     match rng.random_range(0..18) {
         0 => Fault::Kill(vm),
-        1 => Fault::Stop(vm),
+        1 => Fault::Shutdown(vm),
         2 | 3 => Fault::Pause(vm),
         4 => Fault::Reload(vm),
         5 | 6 => Fault::StoreLink(vm, draw_mode(rng)),
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -67,7 +67,7 @@
     };
     run.wait_served("at the start");
     let callers = CallerGroup::start(seed, CALLERS, &targets);
-    run.play_faults(&plan, &callers, size)?;
+    run.apply_faults(&plan, &callers, size)?;
     run.wait_served("after the faults");
     run.wait_in_force();
     run.wait_used();
@@ -111,7 +111,7 @@
 }
 
 impl SoakRun<'_> {
-    fn play_faults(
+    fn apply_faults(
         &mut self,
         plan: &[PlannedFault],
         callers: &CallerGroup,
@@ -119,10 +119,10 @@
     ) -> io::Result<()> {
         let begun = Instant::now();
         let mut next = 0;
-        let mut open: Vec<PlannedFault> = Vec::new();
+        let mut active: Vec<PlannedFault> = Vec::new();
         let mut steps = 0_u64;
         while next < plan.len()
-            || !open.is_empty()
+            || !active.is_empty()
             || self.rewrite_at.is_some()
             || begun.elapsed() < size.time
         {
@@ -130,15 +130,16 @@
             while let Some(fault) = plan.get(next).filter(|fault| fault.at <= now) {
                 self.begin(fault.fault)?;
                 if !fault.fault.is_momentary() {
-                    open.push(*fault);
+                    active.push(*fault);
                 }
                 next += 1;
             }
-            let (over, still): (Vec<_>, Vec<_>) = open.iter().partition(|fault| fault.until <= now);
-            open = still;
-            for (index, fault) in over.iter().enumerate() {
+            let (ended, still_active): (Vec<_>, Vec<_>) =
+                active.iter().partition(|fault| fault.until <= now);
+            active = still_active;
+            for (index, fault) in ended.iter().enumerate() {
                 // Another fault on the same target may still be active, or end in this step.
-                let mut others = open.iter().chain(&over[index + 1..]);
+                let mut others = active.iter().chain(&ended[index + 1..]);
                 if !others.any(|other| is_same_target(other.fault, fault.fault)) {
                     self.end(fault.fault)?;
                     if fault.fault == Fault::Restore {
@@ -150,7 +151,7 @@
                 self.rewrite_at = None;
                 self.deployment.rewrite_lost();
             }
-            self.reap_vms(&open)?;
+            self.reap_vms(&active)?;
             self.record_observations(callers);
             steps += 1;
             if steps.is_multiple_of(PROBE_STEPS) {
@@ -174,7 +175,7 @@
     fn set(&self, fault: Fault) -> io::Result<()> {
         match fault {
             Fault::Kill(vm) => self.deployment.signal(vm, Signal::KILL),
-            Fault::Stop(vm) => self.deployment.signal(vm, Signal::TERM),
+            Fault::Shutdown(vm) => self.deployment.signal(vm, Signal::TERM),
             Fault::Pause(vm) | Fault::Suspend(vm, _) => self.deployment.signal(vm, Signal::STOP),
             Fault::Reload(vm) => self.deployment.signal(vm, Signal::HUP),
             Fault::Replace(server) => self.deployment.replace(server),
@@ -231,7 +232,7 @@
     }
 
     fn end(&mut self, fault: Fault) -> io::Result<()> {
-        self.lift(fault)?;
+        self.clear_fault(fault)?;
         match disturbed_part(fault) {
             // A process stays disturbed until it is started again.
             None | Some(DisturbedPart::Process(_)) => {}
@@ -240,7 +241,7 @@
         Ok(())
     }
 
-    fn lift(&self, fault: Fault) -> io::Result<()> {
+    fn clear_fault(&self, fault: Fault) -> io::Result<()> {
         match fault {
             Fault::Pause(vm) => self.deployment.signal(vm, Signal::CONT),
             Fault::Suspend(vm, seconds) => {
@@ -273,7 +274,7 @@
                 Ok(())
             }
             Fault::Kill(_)
-            | Fault::Stop(_)
+            | Fault::Shutdown(_)
             | Fault::Reload(_)
             | Fault::CompactHistory
             | Fault::Replace(_)
@@ -289,11 +290,11 @@
     }
 
     /// Reaps processes that have ended, and restarts those that no kill fault keeps down.
-    fn reap_vms(&mut self, open: &[PlannedFault]) -> io::Result<()> {
+    fn reap_vms(&mut self, active: &[PlannedFault]) -> io::Result<()> {
         for vm in 0..self.targets.len() {
-            let is_held = open.iter().any(|fault| fault.fault == Fault::Kill(vm));
+            let is_killed = active.iter().any(|fault| fault.fault == Fault::Kill(vm));
             match self.deployment.reap(vm) {
-                Ok(true) if !is_held => self.restart_vm(vm)?,
+                Ok(true) if !is_killed => self.restart_vm(vm)?,
                 Ok(_) => {}
                 Err(status) => {
                     let broken = BrokenPromise::Exited(format!("vm{vm}: {status}"));
@@ -478,7 +479,7 @@
     fn wait(&mut self, mut done: impl FnMut(&mut Self) -> bool) -> bool {
         let until = Instant::now() + RECOVERY;
         while !done(self) {
-            // A gateway that was told to shut down may end only now.
+            // A gateway that was sent a shutdown signal may exit only now.
             if Instant::now() > until || self.reap_vms(&[]).is_err() {
                 return false;
             }
@@ -492,7 +493,7 @@
 fn disturbed_part(fault: Fault) -> Option<DisturbedPart> {
     match fault {
         Fault::Pause(vm) | Fault::Suspend(vm, _) => Some(DisturbedPart::Vm(vm)),
-        Fault::Kill(vm) | Fault::Stop(vm) => Some(DisturbedPart::Process(vm)),
+        Fault::Kill(vm) | Fault::Shutdown(vm) => Some(DisturbedPart::Process(vm)),
         Fault::ServerLink(server, _) => Some(DisturbedPart::Link(server)),
         _ => None,
     }
--- a/crates/soak/src/signals.rs
+++ b/crates/soak/src/signals.rs
@@ -18,14 +18,14 @@
 use crate::checks::BrokenPromise;
 
 /// Status with which a VM rejects a request.
-const REFUSED: u16 = 503;
+const REJECTED_STATUS: u16 = 503;
 
 /// A part whose disturbance excuses a VM from obeying a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum DisturbedPart {
     /// A VM, which is suspended.
     Vm(usize),
-    /// The process of a VM, which was told to end or has ended.
+    /// The process of a VM, which was sent a shutdown signal or has exited.
     Process(usize),
     /// The link to a server, which is faulty.
     Link(usize),
@@ -76,7 +76,7 @@
     pub(crate) arrivals: Vec<ArrivedRequest>,
 }
 
-/// The checks of signals, fed while a run goes on.
+/// The checks of signals, updated during a run.
 #[derive(Default)]
 pub(crate) struct SignalChecks {
     pub(crate) calls: BTreeMap<String, CallTimes>,
@@ -127,8 +127,9 @@
     pub(crate) fn read_at(&self, arrived: &ArrivedRequest) -> Option<Instant> {
         let read = self.calls.get(&arrived.request_id)?.read?;
         let last = self.last_arrivals.get(&arrived.request_id);
-        let went_on = arrived.said.rest.is_none() && last.is_some_and(|last| *last > arrived.at);
-        (arrived.at < read && !went_on).then_some(read)
+        let was_abandoned =
+            arrived.signals.rest.is_none() && last.is_some_and(|last| *last > arrived.at);
+        (arrived.at < read && !was_abandoned).then_some(read)
     }
 
     /// The promises broken at one instance of a server; `vms` are the VMs' addresses.
@@ -165,10 +166,13 @@
                 sent,
                 until,
             };
-            if arrived.said.is_leaving {
+            if arrived.signals.is_leaving {
                 checked.push(signal(None));
             }
-            let seconds = arrived.said.rest.and_then(|rest| rest.seconds.parse().ok());
+            let seconds = arrived
+                .signals
+                .rest
+                .and_then(|rest| rest.seconds.parse().ok());
             let rest = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
             if let Some(rest) = rest {
                 checked.push(signal(Some(sent + rest)));
@@ -202,10 +206,10 @@
 }
 
 /// Whether a response shows that its VM has read the signals in earlier responses of
-/// servers: it is a server's response, or a rejection by the VM. Other statuses don't: a
+/// servers: it is a server's response, or a rejection by the VM. Other statuses do not: a
 /// suspended VM answered 504 to requests whose rejection by a server it had never read.
 fn shows_reading(report: &CallReport) -> bool {
-    report.is_own || report.status == Some(REFUSED)
+    report.is_own || report.status == Some(REJECTED_STATUS)
 }
 
 fn describe(
