--- a/crates/types/src/digest.rs
+++ b/crates/types/src/digest.rs
@@ -1,11 +1,12 @@
-//! A hash that is the same on every VM and in every release.
+//! A hash that is identical on every VM and in every release.
 //!
-//! Rendezvous choices are only useful when all VMs compute the same values, so
-//! the standard library's seeded hasher cannot serve here.
+//! Rendezvous hashing requires all VMs to compute the same values, which rules out
+//! the randomly seeded hasher of the standard library.
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// Short stable tag of a name in frequent messages: the low half of its hash.
+/// Returns a stable 32-bit tag that replaces `name` in frequent messages: the low half
+/// of its [`stable_hash`].
 ///
 /// ```
 /// use onyxfall_types::name_tag;
@@ -16,7 +17,8 @@
     u32::from_be_bytes([a, b, c, d])
 }
 
-/// Hashes `parts` in order (XXH3, 64 bits); the boundary between parts counts.
+/// Hashes `parts` in order with 64-bit XXH3. Each part is prefixed with its length, so
+/// different splits of the same text have different hashes.
 ///
 /// ```
 /// use onyxfall_types::stable_hash;
--- a/crates/types/src/entity.rs
+++ b/crates/types/src/entity.rs
@@ -1,7 +1,7 @@
 //! Dense entity ids and the map that they index.
 //!
-//! An id is an index into a table of the bundle that issued it. Ids of two
-//! bundles must not be mixed; names cross that border instead.
+//! An id is an index into a table of the bundle that issued it and is only valid for
+//! that bundle. Entities are identified across bundles by name.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -10,11 +10,11 @@
 
 use crate::quantity::QuantityError;
 
-/// A dense id: an index with a type.
+/// A typed index into an [`EntityMap`].
 pub trait EntityId: Copy + Eq {
-    /// Wraps an index.
+    /// Creates an id from an index.
     fn from_index(index: usize) -> Self;
-    /// Returns the index.
+    /// Returns the index of this id.
     fn index(self) -> usize;
 }
 
@@ -61,52 +61,52 @@
 }
 
 entity_id!(
-    /// A region of one bundle.
+    /// Id of a region within one bundle.
     RegionId,
     "region"
 );
 entity_id!(
-    /// A data centre of one bundle.
+    /// Id of a data centre within one bundle.
     CenterId,
     "center"
 );
 entity_id!(
-    /// An entry VM in one membership table.
+    /// Id of an entry VM within one membership table.
     VmId,
     "vm"
 );
 entity_id!(
-    /// A backend server of one bundle.
+    /// Id of a backend server within one bundle.
     ServerId,
     "server"
 );
 entity_id!(
-    /// A route of one configuration.
+    /// Id of a route within one configuration.
     RouteId,
     "route"
 );
 entity_id!(
-    /// A request kind of one bundle.
+    /// Id of a request kind within one bundle.
     KindId,
     "kind"
 );
 entity_id!(
-    /// A model of one bundle.
+    /// Id of a model within one bundle.
     ModelId,
     "model"
 );
 entity_id!(
-    /// An adapter of one bundle.
+    /// Id of an adapter within one bundle.
     AdapterId,
     "adapter"
 );
 entity_id!(
-    /// A team (the holder of a rate limit) of one bundle.
+    /// Id of a team, to which rate limits apply, within one bundle.
     TeamId,
     "team"
 );
 
-/// A dense table from ids of one type to values.
+/// A map from ids of one type to values, stored as a dense vector.
 ///
 /// ```
 /// use onyxfall_types::{EntityMap, RegionId};
@@ -122,7 +122,7 @@
 }
 
 impl<K: EntityId, V> EntityMap<K, V> {
-    /// Creates an empty table.
+    /// Creates an empty map.
     pub fn new() -> Self {
         Self {
             values: Vec::new(),
@@ -136,45 +136,45 @@
         K::from_index(self.values.len() - 1)
     }
 
-    /// Returns the value of `id`, if the table has it.
+    /// Returns the value of `id`, or `None` if `id` is out of range.
     pub fn get(&self, id: K) -> Option<&V> {
         self.values.get(id.index())
     }
 
-    /// Number of values.
+    /// Returns the number of values.
     pub fn len(&self) -> usize {
         self.values.len()
     }
 
-    /// Whether the table has no value.
+    /// Returns whether the map has no values.
     pub fn is_empty(&self) -> bool {
         self.values.is_empty()
     }
 
-    /// Ids in order.
+    /// Iterates over the ids in ascending order.
     pub fn keys(&self) -> impl Iterator<Item = K> + use<K, V> {
         (0..self.values.len()).map(K::from_index)
     }
 
-    /// Values in id order.
+    /// Iterates over the values in id order.
     pub fn values(&self) -> impl Iterator<Item = &V> {
         self.values.iter()
     }
 
-    /// Pairs of id and value in id order.
+    /// Iterates over pairs of id and value in id order.
     pub fn iter(&self) -> impl Iterator<Item = (K, &V)> {
         self.values
             .iter()
             .enumerate()
-            .map(|(i, v)| (K::from_index(i), v))
+            .map(|(index, value)| (K::from_index(index), value))
     }
 
-    /// Pairs of id and mutable value in id order.
+    /// Iterates over pairs of id and mutable value in id order.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (K, &mut V)> {
         self.values
             .iter_mut()
             .enumerate()
-            .map(|(i, v)| (K::from_index(i), v))
+            .map(|(index, value)| (K::from_index(index), value))
     }
 }
 
--- a/crates/types/src/error.rs
+++ b/crates/types/src/error.rs
@@ -1,4 +1,5 @@
-//! Why a request got no whole answer, and whether it may have run.
+//! Errors of requests without a complete response: the reason, and whether the request may
+//! have run.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,24 +11,24 @@
 
 macro_rules! refusal_reasons {
     ($($(#[$doc:meta])* $name:ident = $text:literal, $status:literal;)*) => {
-        /// Why a request was refused or failed; a closed set.
+        /// Reason why a request was refused or failed. The set is closed.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
         pub enum RefusalReason {
             $($(#[$doc])* $name,)*
         }
 
         impl RefusalReason {
-            /// Every reason, in a fixed order.
+            /// All reasons, in declaration order.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
-            /// Stable token for messages, metrics and problem details.
+            /// Returns the stable token used in messages, metrics and problem details.
             pub const fn as_str(self) -> &'static str {
                 match self {
                     $(Self::$name => $text,)*
                 }
             }
 
-            /// HTTP status that a caller sees.
+            /// Returns the HTTP status sent to the caller.
             pub const fn status(self) -> u16 {
                 match self {
                     $(Self::$name => $status,)*
@@ -40,33 +41,33 @@
 refusal_reasons! {
     /// The request is malformed.
     BadRequest = "bad-request", 400;
-    /// The request carries no key of a team.
+    /// The request has no valid API key of a team.
     Unauthorized = "unauthorized", 401;
-    /// No such request kind in the accepted bundle.
+    /// The accepted bundle does not define the request kind.
     UnknownKind = "unknown-kind", 404;
-    /// The body or a header exceeds a limit.
+    /// The body or a header exceeds its size limit.
     TooLarge = "too-large", 413;
-    /// The data may not live in the region that was asked.
+    /// Residency rules do not permit the data in the region that received the request.
     Residency = "residency", 421;
-    /// The caller's team is past its own rate limit.
+    /// The caller's team has exceeded its rate limit.
     RateLimited = "rate-limited", 429;
     /// The VM has not accepted a bundle yet.
     NotReady = "not-ready", 503;
-    /// The VM is stopping.
+    /// The VM is shutting down.
     Stopping = "stopping", 503;
-    /// The queue is full or nothing permitted has room.
+    /// The queue is full, or no permitted server has free capacity.
     Overloaded = "overloaded", 503;
-    /// Servers have crashed under this request; it does not run for a time.
+    /// Servers crashed while running this request, so it is blocked for a limited time.
     Quarantined = "quarantined", 503;
-    /// The deadline cannot be met any more.
+    /// The deadline can no longer be met.
     Deadline = "deadline", 504;
-    /// A backend server failed or broke off its answer.
+    /// A backend server failed, or disconnected before the end of its response.
     Backend = "backend-failed", 502;
-    /// The link to another entry VM broke.
+    /// The connection to another entry VM was lost.
     Peer = "peer-failed", 502;
-    /// The ticket's issuer is gone, or the ticket was used before.
+    /// The issuer of the ticket no longer exists, or the ticket has already been used.
     Ticket = "ticket", 409;
-    /// The caller went away.
+    /// The caller cancelled the request or disconnected.
     Cancelled = "cancelled", 499;
 }
 
@@ -88,22 +89,22 @@
     }
 }
 
-/// The end of a request without a whole answer.
+/// Error that ends a request without a complete response.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{reason} ({verdict}): {detail}")]
 pub struct RequestError {
     /// Whether the request may have run.
     pub verdict: RunVerdict,
-    /// Why it ended.
+    /// Why the request ended.
     pub reason: RefusalReason,
-    /// What a person needs to know; never holds request data.
+    /// Human-readable explanation; never contains request data.
     pub detail: String,
-    /// When to come back, if trying again can help.
+    /// Delay before a retry, if a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl RequestError {
-    /// A refusal: nothing ran.
+    /// Creates an error for a refused request, with the verdict `NotRun`.
     ///
     /// ```
     /// use onyxfall_types::{RefusalReason, RequestError, RunVerdict};
@@ -119,7 +120,7 @@
         }
     }
 
-    /// A failure with a given verdict.
+    /// Creates an error for a failed request with the given verdict.
     pub fn failed(verdict: RunVerdict, reason: RefusalReason, detail: impl Into<String>) -> Self {
         Self {
             verdict,
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Adds when to come back.
+    /// Sets the delay before a retry.
     #[must_use]
     pub fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,8 +1,8 @@
-//! Identifiers, sizes, rates and the verdict that every onyxfall crate shares.
+//! Identifiers, sizes, rates and verdicts shared by all onyxfall crates.
 //!
-//! Dense ids (`region2`, `server17`) index tables of one loaded bundle and mean
-//! nothing outside it; names are what programs, files and messages exchange.
-//! The verdict records whether a request may have run, and it only ever grows.
+//! Dense ids (`region2`, `server17`) index the tables of one loaded bundle and are
+//! invalid outside it; programs, files and messages identify entities by name. A
+//! verdict records whether a request may have run, and it only increases.
 
 mod digest;
 mod entity;
--- a/crates/types/src/name.rs
+++ b/crates/types/src/name.rs
@@ -1,7 +1,7 @@
-//! Names: what files, messages and logs call an entity.
+//! Entity names used in files, messages and logs.
 //!
-//! A name is 1 to 63 bytes of `a-z`, `0-9`, `-`, `_` and `.`, beginning with a
-//! letter or a digit, so that it is safe in a key, a header and a file name.
+//! A name consists of 1 to 63 bytes of `a-z`, `0-9`, `-`, `_` and `.`, and starts with
+//! a letter or a digit, so that it is safe in store keys, headers and file names.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -11,10 +11,10 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Longest name in bytes.
+/// Maximum length of a name in bytes.
 const MAX_NAME_LEN: usize = 63;
 
-/// A text that is not a name.
+/// Error for text that is not a valid name.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{text}` is not a name: expected 1 to 63 of a-z, 0-9, `-`, `_`, `.`")]
 pub struct NameError {
@@ -22,14 +22,14 @@
 }
 
 fn check_name(text: &str) -> Result<(), NameError> {
-    let head = text
+    let starts_valid = text
         .bytes()
         .next()
-        .is_some_and(|b| b.is_ascii_lowercase() || b.is_ascii_digit());
-    let tail = text
+        .is_some_and(|byte| byte.is_ascii_lowercase() || byte.is_ascii_digit());
+    let has_valid_bytes = text
         .bytes()
-        .all(|b| matches!(b, b'a'..=b'z' | b'0'..=b'9' | b'-' | b'_' | b'.'));
-    if head && tail && text.len() <= MAX_NAME_LEN {
+        .all(|byte| matches!(byte, b'a'..=b'z' | b'0'..=b'9' | b'-' | b'_' | b'.'));
+    if starts_valid && has_valid_bytes && text.len() <= MAX_NAME_LEN {
         return Ok(());
     }
     Err(NameError {
@@ -45,7 +45,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Returns the name's text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -135,6 +135,6 @@
     TeamName
 );
 entity_name!(
-    /// Name of an operator, who is known by a signing key.
+    /// Name of an operator, who is identified by a signing key.
     OperatorName
 );
--- a/crates/types/src/position.rs
+++ b/crates/types/src/position.rs
@@ -1,25 +1,25 @@
-//! Places in the history of a store that may be restored from an older copy.
+//! Positions in the change history of a store that may be restored from a backup.
 //!
-//! A restored store gives revisions out again, so that a revision alone does not order
-//! changes. Each restoration begins a new era, and everything in it is later than
-//! everything in the eras before.
+//! A restored store reuses revisions, so a revision alone does not order changes. Each
+//! restore starts a new era, and every change in an era is later than all changes in
+//! earlier eras.
 
 use std::fmt;
 use std::str::FromStr;
 
 use crate::quantity::QuantityError;
 
-/// Number of times that a store was restored, as it counts them.
+/// Number of times that a store has been restored, as counted by the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StoreEra(u16);
 
 impl StoreEra {
-    /// Wraps a number.
+    /// Creates an era from its number.
     pub const fn new(number: u16) -> Self {
         Self(number)
     }
 
-    /// Returns the number.
+    /// Returns the era number.
     pub const fn get(self) -> u16 {
         self.0
     }
@@ -42,7 +42,7 @@
     }
 }
 
-/// A revision in its era, as one number that orders all changes of a store.
+/// An era and a revision, packed into one number that orders all changes of a store.
 ///
 /// ```
 /// use onyxfall_types::{StoreEra, StorePosition};
@@ -57,11 +57,12 @@
 pub struct StorePosition(u64);
 
 impl StorePosition {
-    /// Bits of a revision; the era stands above them.
+    /// Number of low bits that hold the revision; the era occupies the bits above.
     const REVISION_BITS: u32 = 48;
     const MAX_REVISION: u64 = (1 << Self::REVISION_BITS) - 1;
 
-    /// A revision in an era; none if the revision is beyond what a store gives out.
+    /// Creates a position. Returns `None` if `revision` does not fit into 48 bits; stores
+    /// do not assign revisions that large.
     pub const fn new(era: StoreEra, revision: u64) -> Option<Self> {
         if revision > Self::MAX_REVISION {
             return None;
@@ -69,23 +70,23 @@
         Some(Self((era.0 as u64) << Self::REVISION_BITS | revision))
     }
 
-    /// The position with this order.
+    /// Creates the position whose [`order`](Self::order) is `order`.
     pub const fn from_order(order: u64) -> Self {
         Self(order)
     }
 
-    /// A number that grows with each change; 0 is before all of them.
+    /// Returns a number that increases with each change; 0 precedes all changes.
     pub const fn order(self) -> u64 {
         self.0
     }
 
-    /// The era.
+    /// Returns the era of this position.
     #[allow(clippy::cast_possible_truncation)]
     pub const fn era(self) -> StoreEra {
         StoreEra((self.0 >> Self::REVISION_BITS) as u16)
     }
 
-    /// The revision within the era, as the store gives it.
+    /// Returns the revision within the era, as assigned by the store.
     pub const fn revision(self) -> u64 {
         self.0 & Self::MAX_REVISION
     }
@@ -101,9 +102,9 @@
     type Err = QuantityError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let bad = || QuantityError::new(text, "an era and a revision, such as 2/7");
-        let (era, revision) = text.split_once('/').ok_or_else(bad)?;
-        let revision = revision.parse().map_err(|_| bad())?;
-        Self::new(era.parse()?, revision).ok_or_else(bad)
+        let invalid = || QuantityError::new(text, "an era and a revision, such as 2/7");
+        let (era, revision) = text.split_once('/').ok_or_else(invalid)?;
+        let revision = revision.parse().map_err(|_| invalid())?;
+        Self::new(era.parse()?, revision).ok_or_else(invalid)
     }
 }
--- a/crates/types/src/quantity.rs
+++ b/crates/types/src/quantity.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates and incarnations with units.
+//! Byte sizes, request rates and process incarnations, with their text forms.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A text that is not the quantity that was expected.
+/// Error for text that does not parse as the expected quantity.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{text}`: expected {expected}")]
 pub struct QuantityError {
@@ -15,7 +15,7 @@
 }
 
 impl QuantityError {
-    /// Records the offending text and what was expected in its place.
+    /// Creates an error from the rejected text and a description of the expected form.
     pub fn new(text: &str, expected: &'static str) -> Self {
         Self {
             text: text.to_owned(),
@@ -27,7 +27,7 @@
 const KIB: u64 = 1024;
 const MIB: u64 = 1024 * KIB;
 
-/// A size in bytes.
+/// A size in bytes, written with the unit `B`, `KiB` or `MiB`.
 ///
 /// ```
 /// use onyxfall_types::ByteSize;
@@ -39,17 +39,17 @@
 pub struct ByteSize(u64);
 
 impl ByteSize {
-    /// Wraps a number of bytes.
+    /// Creates a size from a number of bytes.
     pub const fn new(bytes: u64) -> Self {
         Self(bytes)
     }
 
-    /// Number of bytes.
+    /// Returns the number of bytes.
     pub const fn bytes(self) -> u64 {
         self.0
     }
 
-    /// Number of bytes as an index type, saturating.
+    /// Returns the number of bytes as a `usize`, saturating at `usize::MAX`.
     pub fn as_usize(self) -> usize {
         usize::try_from(self.0).unwrap_or(usize::MAX)
     }
@@ -79,7 +79,7 @@
     }
 }
 
-/// A rate of requests in requests per second; finite and not negative.
+/// A finite, non-negative request rate in requests per second, written such as `50/s`.
 ///
 /// ```
 /// use onyxfall_types::RequestRate;
@@ -91,12 +91,12 @@
 pub struct RequestRate(f64);
 
 impl RequestRate {
-    /// Wraps a rate; `None` unless it is finite and not negative.
+    /// Creates a rate. Returns `None` unless `per_second` is finite and non-negative.
     pub fn new(per_second: f64) -> Option<Self> {
         (per_second.is_finite() && per_second >= 0.0).then_some(Self(per_second))
     }
 
-    /// Requests per second.
+    /// Returns the rate in requests per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
@@ -119,24 +119,24 @@
     }
 }
 
-/// One life of a process: a later life of the same name has a larger number.
+/// Number of one run of a process. It increases each time a process of the same name restarts.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation(u64);
 
 impl Incarnation {
-    /// Wraps a number.
+    /// Creates an incarnation from its number.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// Returns the number.
+    /// Returns the incarnation number.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// The least incarnation that is later than this one.
+    /// Returns the smallest incarnation later than this one.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
--- a/crates/types/src/retry.rs
+++ b/crates/types/src/retry.rs
@@ -1,4 +1,4 @@
-//! The time after which a refused sender may come back.
+//! Retry delay that a refusal sends to its caller.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,10 +6,10 @@
 
 use crate::quantity::QuantityError;
 
-/// A time as `Retry-After` names it, in seconds, whole or not.
+/// Value of a `Retry-After` header in seconds, optionally with a fraction.
 ///
-/// Dates are not read: they would be measured by a clock that is not the server's. A
-/// number beyond all times is the longest one.
+/// Dates are rejected, because the clock of the receiver may differ from that of the
+/// server. Numbers that exceed the range of [`Duration`] saturate at [`Duration::MAX`].
 ///
 /// ```
 /// use onyxfall_types::RetryDelay;
@@ -26,12 +26,12 @@
 pub struct RetryDelay(Duration);
 
 impl RetryDelay {
-    /// Wraps a time.
+    /// Creates a retry delay from a duration.
     pub const fn new(time: Duration) -> Self {
         Self(time)
     }
 
-    /// The time.
+    /// Returns the delay as a duration.
     pub const fn time(self) -> Duration {
         self.0
     }
@@ -47,13 +47,13 @@
     type Err = QuantityError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let bad = || QuantityError::new(text, "seconds, such as 3 or 0.5");
+        let invalid = || QuantityError::new(text, "seconds, such as 3 or 0.5");
         let trimmed = text.trim();
-        // Words such as `inf` are numbers to the parser.
+        // The float parser also accepts `inf`, `nan` and signs.
         if !trimmed.starts_with(|first: char| first.is_ascii_digit() || first == '.') {
-            return Err(bad());
+            return Err(invalid());
         }
-        let seconds: f64 = trimmed.parse().map_err(|_| bad())?;
+        let seconds: f64 = trimmed.parse().map_err(|_| invalid())?;
         Ok(Self(
             Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX),
         ))
--- a/crates/types/src/verdict.rs
+++ b/crates/types/src/verdict.rs
@@ -1,8 +1,8 @@
-//! Whether a request may have run.
+//! Whether a request may have been executed.
 //!
-//! A verdict only grows: `NotRun`, then `MayHaveRun`, then `Ran`. A caller is
-//! told `NotRun` only while no byte that could start work has left the VM, or
-//! after a refusal that the other side's contract defines as not-run.
+//! A verdict only increases: `NotRun`, then `MayHaveRun`, then `Ran`. `NotRun` is
+//! reported to a caller only if no byte that could start work has left the VM, or
+//! after a refusal that the protocol of the refusing peer defines as not run.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,7 +10,7 @@
 
 use thiserror::Error;
 
-/// Whether a request, or one attempt of it, may have run.
+/// Whether a request, or one attempt of it, may have been executed.
 ///
 /// ```
 /// use onyxfall_types::RunVerdict;
@@ -19,17 +19,17 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RunVerdict {
-    /// It did not run and will not.
+    /// The request has not run and will not run.
     NotRun,
-    /// It may have run, or may still be running.
+    /// The request may have run, or may still be running.
     MayHaveRun,
-    /// It ran: a backend server answered. A streamed answer is whole only if
-    /// its body ends as whole.
+    /// The request ran: a backend server responded. A streamed response is complete only
+    /// if its body is terminated as complete.
     Ran,
 }
 
 impl RunVerdict {
-    /// The header form: `not-run`, `may-have-run` or `ran`.
+    /// Returns the form used in headers: `not-run`, `may-have-run` or `ran`.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
@@ -45,7 +45,7 @@
     }
 }
 
-/// A text that is not a verdict.
+/// Error for text that is not a verdict.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{0}` is not a verdict: expected ran, not-run or may-have-run")]
 pub struct VerdictError(String);
@@ -61,7 +61,7 @@
     }
 }
 
-/// A verdict shared between the threads of one attempt; it never shrinks.
+/// A verdict shared between the threads of one attempt. Its value never decreases.
 ///
 /// ```
 /// use onyxfall_types::{RunVerdict, VerdictCell};
@@ -74,17 +74,17 @@
 pub struct VerdictCell(AtomicU8);
 
 impl VerdictCell {
-    /// A cell that holds `NotRun`.
+    /// Creates a cell with the verdict `NotRun`.
     pub const fn new() -> Self {
         Self(AtomicU8::new(0))
     }
 
-    /// Raises the verdict to at least `verdict`.
+    /// Raises the stored verdict to at least `verdict`.
     pub fn raise(&self, verdict: RunVerdict) {
         self.0.fetch_max(verdict as u8, Ordering::SeqCst);
     }
 
-    /// Returns the verdict so far.
+    /// Returns the current verdict.
     pub fn get(&self) -> RunVerdict {
         match self.0.load(Ordering::SeqCst) {
             0 => RunVerdict::NotRun,
--- a/crates/types/src/version.rs
+++ b/crates/types/src/version.rs
@@ -7,16 +7,16 @@
 
 use thiserror::Error;
 
-/// Longest version in bytes.
+/// Maximum length of a version in bytes.
 const MAX_VERSION_LEN: usize = 63;
 
-/// A text that is no version.
+/// Error for text that is not a valid software version.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a version: expected 1 to 63 printable characters without blanks")]
 pub struct VersionError;
 
-/// Version of the software of a backend server, such as `v2`. Versions are told apart and
-/// have no order.
+/// Software version of a backend server, such as `v2`. Versions are only compared for
+/// equality: `Ord` sorts them as text, not by release.
 ///
 /// ```
 /// use onyxfall_types::SoftwareVersion;
@@ -29,7 +29,7 @@
 pub struct SoftwareVersion(Arc<str>);
 
 impl SoftwareVersion {
-    /// The version's text.
+    /// Returns the version as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
