--- a/crates/overlay/tests/region.rs
+++ b/crates/overlay/tests/region.rs
@@ -1,5 +1,5 @@
-//! Whole fleets of nodes in virtual time: what it costs, how old knowledge is, and
-//! what happens when aggregators, data centres and links are lost.
+//! Simulates whole fleets in virtual time. Checks the message rate per VM, the propagation
+//! delay of updates, and recovery from lost aggregators, data centres, regions and links.
 
 mod support;
 
@@ -7,15 +7,15 @@
 
 use support::{Fleet, FleetShape};
 
-/// 300 VMs, as on the largest deployment known.
+/// 300 VMs, the size of the largest known deployment.
 const LARGE: FleetShape = FleetShape::new(3, 2, 50);
-/// Time until all VMs know of a death: the silence after which a VM is not taken for
-/// alive, and the same once more for a VM that becomes an aggregator at that moment and
-/// still has the word of its former ones.
-const NOTICED: u64 = 2 * 1300 + 400;
-/// The same where VMs have lost both of their aggregators at once: they live on old
-/// words for a while.
-const FLEET_WORDS: u64 = 4000 + 700;
+/// Milliseconds within which all VMs detect a killed VM. It covers the timeout after which a VM
+/// counts as unresponsive (1300 ms) twice, because a VM that becomes an aggregator at that
+/// moment still holds unexpired updates of its former aggregators.
+const DETECTION_MS: u64 = 2 * 1300 + 400;
+/// Detection time in milliseconds if VMs lose both of their aggregators at once: they keep the
+/// last update on the whole fleet until it expires (4000 ms).
+const AGGREGATORS_LOST_DETECTION_MS: u64 = 4000 + 700;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -24,15 +24,15 @@
 struct SizeCase {
     name: &'static str,
     shape: FleetShape,
-    /// Frames a second of the busiest VM.
+    /// Maximum frames per second of a VM.
     most_frames: f64,
-    /// Mean frames a second and VM.
+    /// Mean frames per second over all VMs.
     mean_frames: f64,
 }
 
 const SIZES: &[SizeCase] = &[
     SizeCase {
-        name: "8 VMs in one region: a mesh",
+        name: "8 VMs in one region, full mesh",
         shape: FleetShape::new(1, 1, 8),
         most_frames: 260.0,
         mean_frames: 260.0,
@@ -64,7 +64,7 @@
 ];
 
 #[test]
-fn frames_of_a_vm_do_not_grow_with_the_fleet() {
+fn frames_per_vm_are_bounded_for_any_fleet_size() {
     for case in SIZES {
         let mut fleet = Fleet::start(case.shape);
         fleet.run(ms(4000));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn all_vms_that_start_at_once_know_each_other_within_a_second() {
+fn simultaneous_start_converges_within_one_second() {
     let mut fleet = Fleet::start(LARGE);
     fleet.run(ms(1000));
     assert!(fleet.knows_all(), "{}", fleet.gaps());
@@ -84,48 +84,48 @@
     assert_eq!(
         aggregators.len(),
         4,
-        "two of each data centre: {aggregators:?}"
+        "expected two per data centre: {aggregators:?}"
     );
 }
 
 struct LossCase {
     name: &'static str,
-    /// Milliseconds until all know.
-    noticed: u64,
-    /// Which VMs die, given the aggregators of the first region and all of its VMs.
-    dies: fn(&[usize], &[usize]) -> Vec<usize>,
+    /// Milliseconds within which all VMs detect the loss.
+    detection_ms: u64,
+    /// Selects the VMs to kill from the aggregators of the first region and all of its VMs.
+    select_killed: fn(&[usize], &[usize]) -> Vec<usize>,
 }
 
 const LOSSES: &[LossCase] = &[
     LossCase {
         name: "one aggregator",
-        noticed: NOTICED,
-        dies: |aggregators, _| aggregators[..1].to_vec(),
+        detection_ms: DETECTION_MS,
+        select_killed: |aggregators, _| aggregators[..1].to_vec(),
     },
     LossCase {
         name: "one aggregator of each data centre",
-        noticed: NOTICED,
-        dies: |aggregators, _| vec![aggregators[0], aggregators[2]],
+        detection_ms: DETECTION_MS,
+        select_killed: |aggregators, _| vec![aggregators[0], aggregators[2]],
     },
     LossCase {
         name: "every aggregator of the region",
-        noticed: FLEET_WORDS,
-        dies: |aggregators, _| aggregators.to_vec(),
+        detection_ms: AGGREGATORS_LOST_DETECTION_MS,
+        select_killed: |aggregators, _| aggregators.to_vec(),
     },
     LossCase {
         name: "a data centre",
-        noticed: FLEET_WORDS,
-        dies: |_, vms| vms[..vms.len() / 2].to_vec(),
+        detection_ms: AGGREGATORS_LOST_DETECTION_MS,
+        select_killed: |_, vms| vms[..vms.len() / 2].to_vec(),
     },
     LossCase {
         name: "a region",
-        noticed: NOTICED,
-        dies: |_, vms| vms.to_vec(),
+        detection_ms: DETECTION_MS,
+        select_killed: |_, vms| vms.to_vec(),
     },
 ];
 
 #[test]
-fn a_loss_is_noticed_by_all_and_a_return_too() {
+fn all_vms_detect_losses_and_restarts() {
     for case in LOSSES {
         let mut fleet = Fleet::start(LARGE);
         fleet.run(ms(1500));
@@ -134,34 +134,39 @@
             .into_iter()
             .filter(|vm| fleet.region_of(*vm) == 0)
             .collect();
-        let dead = (case.dies)(&fleet.aggregators(0), &region);
-        for vm in &dead {
+        let killed = (case.select_killed)(&fleet.aggregators(0), &region);
+        for vm in &killed {
             fleet.kill(*vm);
         }
-        fleet.run(ms(case.noticed));
+        fleet.run(ms(case.detection_ms));
         assert!(fleet.knows_all(), "{}: {}", case.name, fleet.gaps());
-        for vm in &dead {
+        for vm in &killed {
             fleet.restart(*vm);
         }
-        fleet.run(ms(NOTICED));
-        assert!(fleet.knows_all(), "{}, back: {}", case.name, fleet.gaps());
+        fleet.run(ms(DETECTION_MS));
+        assert!(
+            fleet.knows_all(),
+            "{}, restarted: {}",
+            case.name,
+            fleet.gaps()
+        );
     }
 }
 
 #[test]
-fn regions_that_were_cut_apart_find_each_other_again() {
+fn partitioned_regions_reconnect() {
     let mut fleet = Fleet::start(FleetShape::new(3, 2, 10));
     fleet.run(ms(1500));
-    fleet.cut_regions(0, 1);
-    fleet.run(ms(NOTICED));
-    assert!(fleet.knows_all(), "cut: {}", fleet.gaps());
-    fleet.heal();
-    fleet.run(ms(NOTICED));
+    fleet.partition_regions(0, 1);
+    fleet.run(ms(DETECTION_MS));
+    assert!(fleet.knows_all(), "partitioned: {}", fleet.gaps());
+    fleet.heal_partitions();
+    fleet.run(ms(DETECTION_MS));
     assert!(fleet.knows_all(), "healed: {}", fleet.gaps());
 }
 
-/// Requests of other VMs of its region at each server, if every VM has as many as it
-/// has number.
+/// Expected requests of other VMs of the viewer's region at each server, if VM `n` has `n + 1`
+/// requests there.
 fn expected_work(fleet: &Fleet, viewer: usize) -> u32 {
     fleet
         .living()
@@ -174,98 +179,107 @@
 fn check_work(fleet: &Fleet, case: &str) {
     for viewer in fleet.living() {
         for server in [0, 7] {
-            let known = fleet.known_work(viewer, server);
-            assert_eq!(known, expected_work(fleet, viewer), "{case}: vm-{viewer}");
+            let known_work = fleet.known_work(viewer, server);
+            assert_eq!(
+                known_work,
+                expected_work(fleet, viewer),
+                "{case}: vm-{viewer}"
+            );
         }
     }
 }
 
 #[test]
-fn every_vm_knows_the_exact_sum_of_the_others_work() {
+fn every_vm_has_the_exact_work_total_of_other_vms() {
     for shape in [FleetShape::new(1, 1, 6), FleetShape::new(2, 2, 20)] {
         let mut fleet = Fleet::start(shape);
         for vm in fleet.living() {
             fleet.work(vm, 8, u32::try_from(vm + 1).unwrap());
         }
         fleet.run(ms(2000));
-        check_work(&fleet, "at rest");
+        check_work(&fleet, "initial");
         let aggregators = fleet.aggregators(0);
         fleet.kill(aggregators[0]);
-        fleet.run(ms(NOTICED + 1300));
-        check_work(&fleet, "an aggregator died");
+        fleet.run(ms(DETECTION_MS + 1300));
+        check_work(&fleet, "aggregator killed");
         fleet.restart(aggregators[0]);
         fleet.work(
             aggregators[0],
             8,
             u32::try_from(aggregators[0] + 1).unwrap(),
         );
-        fleet.run(ms(NOTICED + 1300));
-        check_work(&fleet, "it is back");
+        fleet.run(ms(DETECTION_MS + 1300));
+        check_work(&fleet, "aggregator restarted");
     }
 }
 
-/// Time until every VM of the region knows of new work of one of them, by VM.
-fn ages(shape: FleetShape, writer: usize) -> Vec<Duration> {
+/// Measures how long after a change of the writer's work each other VM of its region has the
+/// new total.
+fn propagation_delays(shape: FleetShape, writer: usize) -> Vec<Duration> {
     let mut fleet = Fleet::start(shape);
     fleet.run(ms(2000));
     fleet.work(writer, 1, 5);
-    let written = fleet.now;
-    let mut ages = Vec::new();
-    let mut waiting: Vec<usize> = fleet
+    let change_time = fleet.now;
+    let mut delays = Vec::new();
+    let mut pending: Vec<usize> = fleet
         .living()
         .into_iter()
         .filter(|vm| *vm != writer && fleet.region_of(*vm) == fleet.region_of(writer))
         .collect();
-    while !waiting.is_empty() && fleet.now - written < ms(2000) {
+    while !pending.is_empty() && fleet.now - change_time < ms(2000) {
         fleet.run(ms(10));
         let now = fleet.now;
-        waiting.retain(|vm| {
-            let is_known = fleet.known_work(*vm, 0) == 5;
-            if is_known {
-                ages.push(now - written);
+        pending.retain(|vm| {
+            let is_received = fleet.known_work(*vm, 0) == 5;
+            if is_received {
+                delays.push(now - change_time);
             }
-            !is_known
+            !is_received
         });
     }
-    assert!(waiting.is_empty(), "{} VMs never know", waiting.len());
-    ages
+    assert!(
+        pending.is_empty(),
+        "{} VMs did not receive the update",
+        pending.len()
+    );
+    delays
 }
 
-struct AgeCase {
+struct DelayCase {
     shape: FleetShape,
     writer: usize,
     median: Duration,
-    last: Duration,
+    max: Duration,
 }
 
 #[test]
-fn knowledge_of_work_is_young() {
+fn work_updates_propagate_within_bounds() {
     let cases = [
-        AgeCase {
+        DelayCase {
             shape: FleetShape::new(1, 1, 8),
             writer: 5,
             median: ms(80),
-            last: ms(80),
+            max: ms(80),
         },
-        AgeCase {
+        DelayCase {
             shape: LARGE,
             writer: 7,
             median: ms(220),
-            last: ms(320),
+            max: ms(320),
         },
-        AgeCase {
+        DelayCase {
             shape: LARGE,
             writer: 0,
             median: ms(220),
-            last: ms(320),
+            max: ms(320),
         },
     ];
     for case in cases {
-        let mut ages = ages(case.shape, case.writer);
-        ages.sort_unstable();
-        let median = ages[ages.len() / 2];
-        let last = ages[ages.len() - 1];
+        let mut delays = propagation_delays(case.shape, case.writer);
+        delays.sort_unstable();
+        let median = delays[delays.len() / 2];
+        let max = delays[delays.len() - 1];
         assert!(median <= case.median, "{:?}: median {median:?}", case.shape);
-        assert!(last <= case.last, "{:?}: last {last:?}", case.shape);
+        assert!(max <= case.max, "{:?}: max {max:?}", case.shape);
     }
 }
--- a/crates/overlay/tests/support/mod.rs
+++ b/crates/overlay/tests/support/mod.rs
@@ -1,6 +1,8 @@
-//! A fleet of nodes in virtual time. Frames take as long as between data centres and
-//! regions of a real fleet; a frame to a VM that is dead or cut off is lost with its
-//! link.
+//! Simulates a fleet of overlay nodes in virtual time.
+//!
+//! Frame latencies within a data centre, between data centres and between regions match
+//! those of a real fleet. A frame to a VM that is dead or partitioned is lost, and closes
+//! its link.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -16,14 +18,15 @@
 use onyxfall_policy::Moment;
 use onyxfall_types::{Incarnation, VmName};
 
-/// Step of virtual time.
+/// Step by which virtual time advances.
 const STEP: Duration = Duration::from_millis(10);
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1300);
 const FLEET_UPDATE_LIFETIME: Duration = Duration::from_secs(4);
 const EVICT_AFTER: Duration = Duration::from_mins(2);
+/// Maximum number of seed VMs whose addresses each VM is configured with.
 const SEEDS: usize = 3;
 
-/// Regions, data centres of each, and VMs of each data centre.
+/// Number of regions, of data centres per region, and of VMs per data centre.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetShape {
     regions: usize,
@@ -41,38 +44,41 @@
     }
 }
 
-/// Frames sent and taken, a second and VM.
+/// Maximum and mean over all VMs of a per-second count, such as frames sent and received.
 #[derive(Clone, Copy, Debug)]
 pub struct FrameCount {
     pub most: f64,
     pub mean: f64,
 }
 
-/// What VMs tell, a second and VM.
+/// Traffic of the VMs per second and VM.
 #[derive(Clone, Copy, Debug)]
 pub struct TellCount {
     pub frames: FrameCount,
-    /// Records of VMs and figures of servers in the frames.
+    /// VM records and per-server work entries in the sent frames.
     pub entries: FrameCount,
 }
 
 struct Frame {
     from: usize,
     to: usize,
-    /// Whether it goes from the VM that dialled the link.
+    /// Whether the sender is the VM that dialled the link.
     is_forward: bool,
-    life: u64,
+    /// Generation of the link on which the frame was sent.
+    generation: u64,
     update: OverlayUpdate,
 }
 
 #[derive(Default)]
 struct Link {
-    life: u64,
-    /// When the VM that dialled last told.
-    told: Option<Moment>,
-    /// When the other end last told its sum, if this is a member's report.
-    digest_told: Option<Moment>,
-    /// What the VM that dialled last told.
+    /// Distinguishes this link from earlier links between the same VMs, so that frames of
+    /// closed links are dropped.
+    generation: u64,
+    /// When the VM that dialled last sent an update.
+    last_sent: Option<Moment>,
+    /// When the aggregator last sent its digest, if this link carries a member's reports.
+    last_digest_sent: Option<Moment>,
+    /// Relation of the last update from the VM that dialled.
     relation: Option<LinkRelation>,
     forward: LinkState,
     backward: LinkState,
@@ -84,20 +90,20 @@
     records: Vec<VmRecord>,
     by_address: BTreeMap<SocketAddr, usize>,
     dead: BTreeSet<usize>,
-    /// Pairs of regions that cannot reach each other.
-    cuts: BTreeSet<(usize, usize)>,
+    /// Ordered pairs of regions that cannot reach each other.
+    partitions: BTreeSet<(usize, usize)>,
     shape: FleetShape,
     links: BTreeMap<(usize, usize), Link>,
     frames: BTreeMap<u64, Frame>,
     queue: BinaryHeap<Reverse<(Moment, u64)>>,
     next_frame: u64,
-    next_life: u64,
+    next_generation: u64,
     counts: Vec<u64>,
-    /// Records and figures that each VM has sent.
+    /// Number of VM records and work entries that each VM has sent.
     entries: Vec<u64>,
 }
 
-fn record(shape: FleetShape, index: usize, life: u64) -> VmRecord {
+fn record(shape: FleetShape, index: usize, incarnation: u64) -> VmRecord {
     let center = index / shape.vms;
     let region = center / shape.centers;
     let host = u32::try_from(index + 256).unwrap();
@@ -112,7 +118,7 @@
         peer_address: SocketAddr::new(ip, 2),
         capacity: VmCapacity::from_millicores(if is_large { 500 } else { 120 }),
         version: RecordVersion {
-            incarnation: Incarnation::new(life),
+            incarnation: Incarnation::new(incarnation),
             change: 0,
         },
         status: VmStatus {
@@ -123,7 +129,7 @@
 }
 
 impl Fleet {
-    /// Every VM starts at the same moment and knows the addresses of three.
+    /// Starts all VMs at the same moment, each with the addresses of [`SEEDS`] seed VMs.
     pub fn start(shape: FleetShape) -> Self {
         let count = shape.regions * shape.centers * shape.vms;
         let records: Vec<VmRecord> = (0..count).map(|index| record(shape, index, 1)).collect();
@@ -138,21 +144,21 @@
             records,
             by_address,
             dead: BTreeSet::new(),
-            cuts: BTreeSet::new(),
+            partitions: BTreeSet::new(),
             shape,
             links: BTreeMap::new(),
             frames: BTreeMap::new(),
             queue: BinaryHeap::new(),
             next_frame: 0,
-            next_life: 0,
+            next_generation: 0,
             counts: vec![0; count],
             entries: vec![0; count],
         };
-        fleet.nodes = (0..count).map(|index| fleet.fresh(index)).collect();
+        fleet.nodes = (0..count).map(|index| fleet.new_node(index)).collect();
         fleet
     }
 
-    fn fresh(&self, index: usize) -> OverlayNode {
+    fn new_node(&self, index: usize) -> OverlayNode {
         let timing = RosterTiming {
             unresponsive_after: UNRESPONSIVE_AFTER,
             fleet_update_lifetime: FLEET_UPDATE_LIFETIME,
@@ -193,21 +199,21 @@
             .retain(|(from, to), _| *from != index && *to != index);
     }
 
-    /// A VM that was dead starts with nothing but its settings.
+    /// Restarts a dead VM with a new incarnation and no state but its settings.
     pub fn restart(&mut self, index: usize) {
-        let life = self.records[index].version.incarnation.get() + 1;
-        self.records[index] = record(self.shape, index, life);
+        let incarnation = self.records[index].version.incarnation.get() + 1;
+        self.records[index] = record(self.shape, index, incarnation);
         self.dead.remove(&index);
-        self.nodes[index] = self.fresh(index);
+        self.nodes[index] = self.new_node(index);
     }
 
-    pub fn cut_regions(&mut self, one: usize, other: usize) {
-        self.cuts.insert((one, other));
-        self.cuts.insert((other, one));
+    pub fn partition_regions(&mut self, first: usize, second: usize) {
+        self.partitions.insert((first, second));
+        self.partitions.insert((second, first));
     }
 
-    pub fn heal(&mut self) {
-        self.cuts.clear();
+    pub fn heal_partitions(&mut self) {
+        self.partitions.clear();
     }
 
     pub fn run(&mut self, time: Duration) {
@@ -218,17 +224,17 @@
             for index in self.living() {
                 self.step(index);
             }
-            self.tell_digests();
+            self.send_digests();
         }
     }
 
-    /// Frames of each VM over the next `time`.
+    /// Runs the fleet for `time` and counts the frames that each VM sends and receives.
     pub fn count_frames(&mut self, time: Duration) -> FrameCount {
         self.count(time, |_| {}).frames
     }
 
-    /// Frames of each VM, and what is in them, over the next `time`; `change` is called
-    /// each tenth of a second.
+    /// Runs the fleet for `time` and counts the frames of each VM and the entries that it
+    /// sends. `change` is called every 100 ms.
     pub fn count(&mut self, time: Duration, mut change: impl FnMut(&mut Self)) -> TellCount {
         self.counts.fill(0);
         self.entries.fill(0);
@@ -238,17 +244,18 @@
             self.run(Duration::from_millis(100));
         }
         TellCount {
-            frames: a_second(&self.counts, time),
-            entries: a_second(&self.entries, time),
+            frames: rates_per_second(&self.counts, time),
+            entries: rates_per_second(&self.entries, time),
         }
     }
 
-    /// Whether every living VM sees every living one as alive, and no dead one.
+    /// Whether the roster of every living VM lists exactly the living VMs that it can reach as
+    /// alive.
     pub fn knows_all(&self) -> bool {
         self.gaps().is_empty()
     }
 
-    /// What living VMs see wrongly, for messages of tests.
+    /// Describes up to five wrong roster entries of living VMs, for assertion messages.
     pub fn gaps(&self) -> String {
         let living = self.living();
         let mut gaps = Vec::new();
@@ -257,11 +264,11 @@
                 if seen == *viewer {
                     continue;
                 }
-                let known = self.nodes[*viewer].roster().get(self.name(seen));
-                let is_alive = known.is_some_and(onyxfall_overlay::KnownVm::is_alive);
-                let is_cut = self.is_cut(*viewer, seen);
-                if is_alive != (living.contains(&seen) && !is_cut) {
-                    gaps.push(format!("vm-{viewer} sees vm-{seen}: {is_alive}"));
+                let known_vm = self.nodes[*viewer].roster().get(self.name(seen));
+                let is_alive = known_vm.is_some_and(onyxfall_overlay::KnownVm::is_alive);
+                let is_partitioned = self.is_partitioned(*viewer, seen);
+                if is_alive != (living.contains(&seen) && !is_partitioned) {
+                    gaps.push(format!("vm-{viewer} has vm-{seen} as alive: {is_alive}"));
                 }
             }
         }
@@ -269,7 +276,7 @@
         gaps.join(", ")
     }
 
-    /// Sets the work of a VM at each of `servers`: its own number of requests.
+    /// Sets the work of a VM to `requests` requests at each of the first `servers` servers.
     pub fn work(&mut self, index: usize, servers: u32, requests: u32) {
         let share = WorkShare {
             requests,
@@ -282,7 +289,7 @@
         self.nodes[index].totals_mut().set_own(entries);
     }
 
-    /// Sets the work of a VM: so many requests at one server.
+    /// Sets the work of a VM to `requests` requests at one server.
     pub fn work_at(&mut self, index: usize, server: u32, requests: u32) {
         let share = WorkShare {
             requests,
@@ -293,7 +300,7 @@
         self.nodes[index].totals_mut().set_own([entry]);
     }
 
-    /// Sets the work of a VM: so many requests at each of some servers.
+    /// Sets the work of a VM from pairs of a server and its number of requests.
     pub fn work_on(&mut self, index: usize, work: impl Iterator<Item = (u32, u32)>) {
         let entries = work.map(|(server, requests)| WorkEntry {
             server: ServerTag(server),
@@ -305,7 +312,7 @@
         self.nodes[index].totals_mut().set_own(entries);
     }
 
-    /// Requests of other VMs that a VM knows of at a server.
+    /// Number of requests of other VMs at a server, in the totals of VM `index`.
     pub fn known_work(&self, index: usize, server: u32) -> u32 {
         self.nodes[index]
             .totals()
@@ -313,7 +320,7 @@
             .requests
     }
 
-    /// The aggregators of a VM's region, as it sees them.
+    /// Aggregators of a VM's region according to its own roster.
     pub fn aggregators(&self, index: usize) -> Vec<usize> {
         let roster = self.nodes[index].roster();
         let levels = roster.levels();
@@ -321,9 +328,9 @@
         names.iter().map(|vm| self.index_of(&vm.name)).collect()
     }
 
-    fn is_cut(&self, one: usize, other: usize) -> bool {
-        let regions = (self.region_of(one), self.region_of(other));
-        self.cuts.contains(&regions)
+    fn is_partitioned(&self, first: usize, second: usize) -> bool {
+        let regions = (self.region_of(first), self.region_of(second));
+        self.partitions.contains(&regions)
     }
 
     fn latency(&self, from: usize, to: usize) -> Duration {
@@ -336,14 +343,14 @@
         }
     }
 
-    /// Aggregators tell their members the sums that are due.
-    fn tell_digests(&mut self) {
+    /// Sends all digests that are due from aggregators to their members.
+    fn send_digests(&mut self) {
         let reports = self.links.iter();
         let reports = reports.filter(|(_, link)| link.relation == Some(LinkRelation::Report));
         let reports: Vec<(usize, usize)> = reports.map(|(pair, _)| *pair).collect();
         for (member, aggregator) in reports {
             let link = &self.links[&(member, aggregator)];
-            let Some(told) = link.digest_told else {
+            let Some(last_sent) = link.last_digest_sent else {
                 continue;
             };
             let node = &mut self.nodes[aggregator];
@@ -351,13 +358,14 @@
             let interval = node
                 .plan(self.now)
                 .interval(LinkRelation::Digest, has_changes);
-            if self.now >= told + interval {
-                self.tell_digest(member, aggregator);
+            if self.now >= last_sent + interval {
+                self.send_digest(member, aggregator);
             }
         }
     }
 
-    /// A member asks its aggregator for what it knows, and waits for the answer.
+    /// Exchanges a report and a digest between a member and its aggregator, without latency.
+    /// Does nothing if the member has no aggregator that has already sent it a digest.
     pub fn ask(&mut self, member: usize) {
         let reports = self.links.range((member, 0)..=(member, usize::MAX));
         let mut reports = reports.filter(|(_, link)| link.relation == Some(LinkRelation::Report));
@@ -369,27 +377,29 @@
         let Some(link) = self.links.get_mut(&pair) else {
             return;
         };
-        if link.digest_told.is_none() || self.dead.contains(&aggregator) {
+        if link.last_digest_sent.is_none() || self.dead.contains(&aggregator) {
             return;
         }
-        link.told = Some(now);
-        link.digest_told = Some(now);
-        let [own, other] = &names;
+        link.last_sent = Some(now);
+        link.last_digest_sent = Some(now);
+        let [member_name, aggregator_name] = &names;
         let forward = &mut link.forward;
-        let report = self.nodes[member].tell(now, LinkRelation::Report, Some(other), forward);
-        self.nodes[aggregator].take(now, own, &report);
+        let report =
+            self.nodes[member].tell(now, LinkRelation::Report, Some(aggregator_name), forward);
+        self.nodes[aggregator].take(now, member_name, &report);
         let backward = &mut link.backward;
-        let digest = self.nodes[aggregator].tell(now, LinkRelation::Digest, Some(own), backward);
-        self.nodes[member].take(now, other, &digest);
+        let digest =
+            self.nodes[aggregator].tell(now, LinkRelation::Digest, Some(member_name), backward);
+        self.nodes[member].take(now, aggregator_name, &digest);
         for (index, update) in [(member, &report), (aggregator, &digest)] {
             self.counts[index] += 2;
             self.entries[index] += entries_of(update);
         }
     }
 
-    fn tell_digest(&mut self, member: usize, aggregator: usize) {
+    fn send_digest(&mut self, member: usize, aggregator: usize) {
         if let Some(link) = self.links.get_mut(&(member, aggregator)) {
-            link.digest_told = Some(self.now);
+            link.last_digest_sent = Some(self.now);
         }
         self.send(aggregator, member, LinkRelation::Digest, false, false);
     }
@@ -405,49 +415,53 @@
             .iter()
             .filter_map(|link| self.by_address.get(&link.address).copied())
             .collect();
-        let dropped: Vec<(usize, usize)> = self
+        let unplanned: Vec<(usize, usize)> = self
             .links
             .range((index, 0)..=(index, usize::MAX))
             .map(|(pair, _)| *pair)
             .filter(|(_, to)| !targets.contains(to))
             .collect();
-        for pair in dropped {
+        for pair in unplanned {
             self.end_link(pair);
         }
         for planned in &plan.links {
             let Some(to) = self.by_address.get(&planned.address).copied() else {
                 continue;
             };
-            let next_life = &mut self.next_life;
+            let next_generation = &mut self.next_generation;
             let link = self.links.entry((index, to)).or_insert_with(|| {
-                *next_life += 1;
+                *next_generation += 1;
                 Link {
-                    life: *next_life,
+                    generation: *next_generation,
                     ..Link::default()
                 }
             });
             let has_changes = self.nodes[index].has_changes(planned.relation, &link.forward);
             let interval = plan.interval(planned.relation, has_changes);
-            if link.told.is_some_and(|told| now < told + interval) {
+            if link
+                .last_sent
+                .is_some_and(|last_sent| now < last_sent + interval)
+            {
                 continue;
             }
-            let is_first = link.told.is_none();
+            let is_first = link.last_sent.is_none();
             if link.relation != Some(planned.relation) {
-                link.digest_told = None;
+                link.last_digest_sent = None;
             }
             link.relation = Some(planned.relation);
-            link.told = Some(now);
+            link.last_sent = Some(now);
             self.send(index, to, planned.relation, true, is_first);
         }
     }
 
-    /// A VM closes a link that it no longer plans; the other end sees it at once.
+    /// Closes a link that its VM no longer plans, and notifies the other end immediately if it
+    /// is reachable.
     fn end_link(&mut self, pair: (usize, usize)) {
         let Some(relation) = self.links.remove(&pair).and_then(|link| link.relation) else {
             return;
         };
         let (from, to) = pair;
-        if !self.dead.contains(&to) && !self.is_cut(from, to) {
+        if !self.dead.contains(&to) && !self.is_partitioned(from, to) {
             let name = self.records[from].name.clone();
             self.nodes[to].end_link(self.now, &name, relation);
         }
@@ -466,30 +480,30 @@
             &mut link.backward
         };
         let update = self.nodes[from].tell(self.now, relation, Some(&peer), state);
-        let life = link.life;
+        let generation = link.generation;
         self.counts[from] += 1;
         self.entries[from] += entries_of(&update);
-        if self.dead.contains(&to) || self.is_cut(from, to) {
+        if self.dead.contains(&to) || self.is_partitioned(from, to) {
             self.links.remove(&pair);
             return;
         }
-        let trips = if is_first { 3 } else { 1 };
+        let trip_count = if is_first { 3 } else { 1 };
         self.next_frame += 1;
         let frame = Frame {
             from,
             to,
             is_forward: fwd,
-            life,
+            generation,
             update,
         };
         self.frames.insert(self.next_frame, frame);
-        let at = self.now + latency * trips;
-        self.queue.push(Reverse((at, self.next_frame)));
+        let arrival = self.now + latency * trip_count;
+        self.queue.push(Reverse((arrival, self.next_frame)));
     }
 
     fn deliver(&mut self) {
-        while let Some(Reverse((at, id))) = self.queue.peek().copied() {
-            if at > self.now {
+        while let Some(Reverse((arrival, id))) = self.queue.peek().copied() {
+            if arrival > self.now {
                 return;
             }
             self.queue.pop();
@@ -501,36 +515,36 @@
             } else {
                 (frame.to, frame.from)
             };
-            let is_up = self
+            let is_open = self
                 .links
                 .get(&pair)
-                .is_some_and(|link| link.life == frame.life);
-            if !is_up || self.dead.contains(&frame.to) {
+                .is_some_and(|link| link.generation == frame.generation);
+            if !is_open || self.dead.contains(&frame.to) {
                 continue;
             }
             self.counts[frame.to] += 1;
             let from = self.records[frame.from].name.clone();
-            let taken = self.nodes[frame.to].take(at, &from, &frame.update);
-            if taken.is_cut {
+            let received = self.nodes[frame.to].take(arrival, &from, &frame.update);
+            if received.is_cut {
                 self.links.remove(&pair);
                 continue;
             }
-            let answer = self.nodes[frame.to].answer(&from, frame.update.relation);
-            match answer {
+            let response_relation = self.nodes[frame.to].answer(&from, frame.update.relation);
+            match response_relation {
                 Some(LinkRelation::Digest) => {
                     let link = &self.links[&pair];
-                    if link.digest_told.is_none() {
-                        self.tell_digest(frame.from, frame.to);
+                    if link.last_digest_sent.is_none() {
+                        self.send_digest(frame.from, frame.to);
                     }
                 }
-                Some(answer) => self.send(frame.to, frame.from, answer, false, false),
+                Some(relation) => self.send(frame.to, frame.from, relation, false, false),
                 None => {}
             }
         }
     }
 }
 
-fn a_second(counts: &[u64], time: Duration) -> FrameCount {
+fn rates_per_second(counts: &[u64], time: Duration) -> FrameCount {
     let per_second = |count: u64| count as f64 / time.as_secs_f64();
     FrameCount {
         most: per_second(counts.iter().copied().max().unwrap_or(0)),
@@ -538,10 +552,10 @@
     }
 }
 
-/// Records and figures in a message.
+/// Number of VM records, including removed VMs, and work entries in a message.
 fn entries_of(update: &OverlayUpdate) -> u64 {
-    let roster = update.word.as_ref();
-    let records = roster.map_or(0, |word| word.records.len() + word.gone.len());
-    let figures = update.work.as_ref().map_or(0, |work| work.entries.len());
-    (records + figures) as u64
+    let roster_update = update.word.as_ref();
+    let records = roster_update.map_or(0, |roster| roster.records.len() + roster.gone.len());
+    let work_entries = update.work.as_ref().map_or(0, |work| work.entries.len());
+    (records + work_entries) as u64
 }
