--- a/crates/slopes/src/bench.rs
+++ b/crates/slopes/src/bench.rs
@@ -1,4 +1,5 @@
-//! A deployment of many entries in one process.
+//! Test bench: a deployment of many entries in one process, on loopback, with a stub of
+//! the platform and a stub for each backend server.
 
 use std::fmt::Write as _;
 use std::io::{Read, Write as _};
@@ -14,10 +15,13 @@
 use onyxfall_platform::{PlatformClient, PlatformSettings};
 use onyxfall_types::RegionName;
 
-const PATIENCE: Duration = Duration::from_mins(1);
+/// Limit on the wait until a content is in force in all entries.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_mins(1);
+/// Operators who sign off each content.
 const OPERATORS: [&str; 2] = ["ann", "ben"];
 
-/// Numbers of data centres, members, servers and models of a deployment.
+/// Size of a deployment: the number of data centres, of members (entries) and backend
+/// servers in each data centre, and of models.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BenchShape {
     pub(crate) centers: usize,
@@ -27,6 +31,7 @@
 }
 
 impl BenchShape {
+    /// Number of entries in the whole deployment.
     pub(crate) fn daemons(&self) -> usize {
         self.centers * self.members
     }
@@ -41,11 +46,13 @@
     servers: Vec<SocketAddr>,
 }
 
+/// Binds a free loopback port.
 fn listen() -> Result<TcpListener, String> {
     TcpListener::bind("127.0.0.1:0").map_err(|e| e.to_string())
 }
 
-/// Starts a server that responds with load reports, one short connection at a time.
+/// Starts a stub of a backend server, which responds to every request with the same load
+/// report. It serves one connection at a time and closes it after the response.
 fn start_responder() -> Result<SocketAddr, String> {
     let listener = listen()?;
     let address = listener.local_addr().map_err(|e| e.to_string())?;
@@ -53,14 +60,14 @@
         .stack_size(64 * 1024)
         .spawn(move || {
             let body = "{\"incarnation\":1,\"running\":2,\"queued\":1}";
-            let answer = format!(
+            let response = format!(
                 "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{body}",
                 body.len()
             );
             for mut stream in listener.incoming().flatten() {
                 let mut chunk = [0; 1024];
                 let _ = stream.read(&mut chunk);
-                let _ = stream.write_all(answer.as_bytes());
+                let _ = stream.write_all(response.as_bytes());
             }
         })
         .map_err(|e| e.to_string())?;
@@ -68,7 +75,7 @@
 }
 
 impl SlopeBench {
-    /// Starts a deployment and waits until its bundle is in force everywhere.
+    /// Starts a deployment and waits until its first bundle is in force in every entry.
     pub(crate) fn start(shape: BenchShape) -> Result<Self, String> {
         let platform = FakePlatform::start(listen()?).map_err(|e| e.to_string())?;
         let servers: Result<Vec<_>, _> = (0..shape.centers * shape.servers)
@@ -100,8 +107,9 @@
         Ok(bench)
     }
 
-    /// Settings of an entry. They name the first entry of each data centre before its own;
-    /// the entry reads the others from the platform's list.
+    /// Returns the settings of an entry. Its configured peers are the first entries of the
+    /// data centres, as far as these have started; it reads all other VMs from the
+    /// platform's list.
     fn entry_settings(&self, index: usize, first_peers: &[SocketAddr]) -> String {
         let center = index / self.shape.members;
         let mut text = format!(
@@ -125,6 +133,7 @@
         text
     }
 
+    /// Sets the platform's list of VMs to all started entries.
     fn publish_vms(&self) -> Result<(), String> {
         let mut vms = Vec::new();
         for (index, entry) in self.entries.iter().enumerate() {
@@ -143,6 +152,8 @@
         Ok(())
     }
 
+    /// Returns the bundle with `edition` as the version of every model. Every server serves
+    /// every model.
     fn bundle_text(&self, edition: u32) -> String {
         let mut text = "[bundle]\nname = slopes\n".to_owned();
         for model in 0..self.shape.models {
@@ -169,6 +180,7 @@
         text
     }
 
+    /// Returns a context that runs commands as the operator at `index`.
     fn operator(&self, index: usize) -> Result<OperatorContext, String> {
         let mut ring = OperatorRing::default();
         for (name, secret) in OPERATORS.iter().zip(&self.secrets) {
@@ -188,7 +200,7 @@
         Ok(OperatorContext::new(store, "slopes", ring, name, secret))
     }
 
-    /// Proposes an edition of the bundle and signs it.
+    /// Proposes an edition of the bundle and signs it off as every operator.
     pub(crate) fn sign(&self, edition: u32) -> Result<ContentDigest, String> {
         let text = self.bundle_text(edition);
         let digest = self
@@ -203,7 +215,7 @@
         Ok(digest)
     }
 
-    /// Rolls out a content to every region.
+    /// Rolls out a content to every region, with no wait between regions.
     pub(crate) fn roll(&self, content: ContentDigest) -> Result<(), String> {
         let regions: Vec<RegionName> = (0..self.shape.centers)
             .filter_map(|c| format!("r{c}").parse().ok())
@@ -219,7 +231,7 @@
             .map_err(|e| e.to_string())
     }
 
-    /// Waits until a content is in force in every entry; returns the time until then.
+    /// Waits until a content is in force in every entry and returns the time waited.
     pub(crate) fn wait_in_force(&self, content: ContentDigest) -> Result<Duration, String> {
         let started = Instant::now();
         let head = self.operator(0)?.head().map_err(|e| e.to_string())?;
@@ -230,10 +242,10 @@
                 .regions
                 .get(&region)
                 .filter(|record| record.content == content);
-            let version = record.ok_or("the roll is not complete")?.version.get();
-            while version_of(entry.caller_address()) < Some(version) {
-                if started.elapsed() > PATIENCE {
-                    return Err(format!("vm-{index} is not at v{version}"));
+            let version = record.ok_or("the rollout is not complete")?.version.get();
+            while version_in_force(entry.caller_address()) < Some(version) {
+                if started.elapsed() > IN_FORCE_TIMEOUT {
+                    return Err(format!("vm-{index} has not reached version {version}"));
                 }
                 thread::sleep(Duration::from_millis(10));
             }
@@ -241,7 +253,8 @@
         Ok(started.elapsed())
     }
 
-    /// Sums the metrics whose lines start with `prefix` over all entries.
+    /// Returns the sum of all metrics whose lines start with `prefix`, over all entries.
+    /// Entries that do not respond are left out.
     pub(crate) fn metric(&self, prefix: &str) -> f64 {
         let read = |entry: &EntryProcess| -> Option<f64> {
             let text = get(entry.admin_address(), "/metrics")?;
@@ -255,7 +268,7 @@
         self.entries.iter().filter_map(read).sum()
     }
 
-    /// Stops all entries concurrently.
+    /// Kills all entries without waiting for each, then waits 700 ms.
     pub(crate) fn end(self) {
         for entry in self.entries {
             entry.kill();
@@ -264,6 +277,7 @@
     }
 }
 
+/// Fetches a page over HTTP; `None` on any error.
 fn get(address: SocketAddr, path: &str) -> Option<String> {
     let agent = ureq::Agent::config_builder()
         .proxy(None)
@@ -279,7 +293,8 @@
         .ok()
 }
 
-fn version_of(address: SocketAddr) -> Option<u64> {
+/// Returns the configuration version in force in the entry at `address`.
+fn version_in_force(address: SocketAddr) -> Option<u64> {
     let text = get(address, "/v1/version")?;
     serde_json::from_str::<serde_json::Value>(&text).ok()?["version"].as_u64()
 }
--- a/crates/slopes/src/series.rs
+++ b/crates/slopes/src/series.rs
@@ -1,4 +1,5 @@
-//! The measured series.
+//! The series of measurements. Each measures how a cost grows with one dimension of a
+//! deployment, at a few sizes.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -18,7 +19,7 @@
 
 type MeasureFn = Box<dyn Fn() -> Result<Vec<SeriesRow>, String>>;
 
-/// A named measurement that produces rows.
+/// A named measurement that returns one or more rows of the table.
 pub(crate) struct SlopeSeries {
     pub(crate) name: &'static str,
     run: MeasureFn,
@@ -30,6 +31,7 @@
     }
 }
 
+/// Base shape; most series vary one field of it.
 const SMALL: BenchShape = BenchShape {
     centers: 1,
     members: 4,
@@ -37,7 +39,8 @@
     models: 1,
 };
 
-/// Every series.
+/// Returns all series. `seconds` is the length of a control measurement at each point;
+/// `daemons` is the largest deployment of the "time to force" series.
 pub(crate) fn all(seconds: u64, daemons: usize) -> Vec<SlopeSeries> {
     let window = Duration::from_secs(seconds);
     let control = move |name: &'static str, shapes: Vec<(f64, BenchShape)>| SlopeSeries {
@@ -103,7 +106,8 @@
     ]
 }
 
-/// Measures control bytes, processor time, memory and platform calls per daemon.
+/// Measures control bytes, processor time and resident memory per daemon, and platform
+/// calls of the whole deployment.
 fn control_rows(
     name: &str,
     shapes: &[(f64, BenchShape)],
@@ -152,15 +156,16 @@
         .collect())
 }
 
+/// Sums the calls over all paths.
 fn total(calls: &BTreeMap<String, u64>) -> f64 {
     calls.values().sum::<u64>() as f64
 }
 
-/// Number of changes measured at each point.
+/// Number of configuration changes averaged at each point.
 const CHANGES: u32 = 5;
 
-/// Measures bytes of configuration per daemon and change, by number of servers in the
-/// bundle.
+/// Measures the configuration bytes that a daemon sends per change, against the number of
+/// servers in the bundle.
 fn change_rows() -> Result<Vec<SeriesRow>, String> {
     let mut points = Vec::new();
     for servers in [4, 32, 128] {
@@ -193,7 +198,8 @@
     }])
 }
 
-/// Measures the time from the last step of a rollout until it is in force everywhere.
+/// Measures the time from the last step of a rollout until its content is in force in every
+/// entry, against the number of daemons.
 fn force_rows(daemons: usize) -> Result<Vec<SeriesRow>, String> {
     let mut points = Vec::new();
     for count in [16, 64, daemons] {
@@ -222,6 +228,7 @@
     }])
 }
 
+/// Returns a bundle with one data centre and the given numbers of servers and teams.
 fn bundle_text(servers: usize, teams: usize) -> String {
     let mut text =
         "[bundle]\nname = b\n[region r]\n[data-centre c]\nregion = r\n[model m]\n".to_owned();
@@ -238,12 +245,14 @@
     text
 }
 
-/// Measures bytes of a bundle's text, and resident memory of a router, per server.
+/// Measures the length of a bundle's text and the resident memory of a router against the
+/// number of servers, the memory of a router against the number of teams, and the memory of
+/// a ticket ledger against the number of open tickets.
 fn memory_rows() -> Result<Vec<SeriesRow>, String> {
     let mut text_points = Vec::new();
     let mut server_points = Vec::new();
     let mut team_points = Vec::new();
-    let build = |text: &str| -> Result<RequestRouter, String> {
+    let build_router = |text: &str| -> Result<RequestRouter, String> {
         let document = IniDocument::parse("b", text).map_err(|e| e.to_string())?;
         let bundle = Arc::new(parse_bundle(&document).map_err(|e| e.to_string())?);
         let center = bundle.center_id("c").ok_or("no data centre")?;
@@ -254,7 +263,7 @@
             Moment::ZERO,
         ))
     };
-    let mut held = Vec::new();
+    let mut live_routers = Vec::new();
     for servers in [1000, 4000, 12_000] {
         let text = bundle_text(servers, 0);
         text_points.push(SeriesPoint {
@@ -262,7 +271,7 @@
             y: text.len() as f64,
         });
         let before = resident_bytes();
-        held.push(build(&text)?);
+        live_routers.push(build_router(&text)?);
         let y = resident_bytes() - before;
         server_points.push(SeriesPoint {
             x: servers as f64,
@@ -272,13 +281,13 @@
     for teams in [1000, 4000, 16_000] {
         let text = bundle_text(1, teams);
         let before = resident_bytes();
-        held.push(build(&text)?);
+        live_routers.push(build_router(&text)?);
         team_points.push(SeriesPoint {
             x: teams as f64,
             y: resident_bytes() - before,
         });
     }
-    black_box(&held);
+    black_box(&live_routers);
     let mut ticket_points = Vec::new();
     for tickets in [10_000, 40_000, 65_000] {
         let before = resident_bytes();
