--- a/crates/entry/src/control/heartbeat.rs
+++ b/crates/entry/src/control/heartbeat.rs
@@ -156,7 +156,7 @@
                     u32::try_from(router.queued_work(id).as_millis()).unwrap_or(u32::MAX);
                 let mut from_away = Vec::new();
                 for (center, info) in bundle.centers.iter() {
-                    let count = router.from_away(center, id);
+                    let count = router.from_remote(center, id);
                     if count > 0 {
                         from_away.extend([name_tag(info.name.as_str()), count]);
                     }
@@ -264,7 +264,7 @@
         let demand = core.demand.lock();
         let tag = |model| name_tag(bundle.models[model].name.as_str());
         let from_away = |model| {
-            let own = to_id.map_or(0, |to| router.from_away(to, model));
+            let own = to_id.map_or(0, |to| router.from_remote(to, model));
             own + demand.peer_open(to, tag(model))
         };
         let digests = router.digest_for(
@@ -375,10 +375,10 @@
     };
     {
         let mut members = core.members.lock();
-        members.hear(now, &sender);
+        members.receive(now, &sender);
         let own = members.own().clone();
         let reported = Incarnation::new(heartbeat.receiver_incarnation);
-        members.hear(
+        members.receive(
             now,
             &MemberHeartbeat {
                 incarnation: reported,
@@ -443,7 +443,7 @@
     let center = link.peer().center.clone();
     core.with_router(|router| {
         if let Some(id) = router.bundle().center_id(center.as_str()) {
-            router.centers_mut().note_rtt(id, rtt);
+            router.centers_mut().record_rtt(id, rtt);
         }
     });
 }
@@ -480,7 +480,7 @@
         router.receive_center(now, &digest);
         if load.rtt_us > 0 {
             let rtt = Duration::from_micros(u64::from(load.rtt_us));
-            router.centers_mut().note_rtt(id, rtt);
+            router.centers_mut().record_rtt(id, rtt);
         }
     });
     apply_members_hash(core, link, &center, load.members);
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -261,7 +261,7 @@
 
     /// Starts a graceful shutdown; later calls have no effect.
     pub(crate) fn request_shutdown(&self) {
-        self.shutdown.lock().ask(self.now());
+        self.shutdown.lock().request(self.now());
         self.members.lock().leave();
         self.shutdown_requested.stop();
     }
--- a/crates/entry/src/edge/admin.rs
+++ b/crates/entry/src/edge/admin.rs
@@ -52,7 +52,7 @@
     if let Some((counts, waiting)) = counts {
         let rows = [
             ("onyxfall_attempts_local_total", counts.local),
-            ("onyxfall_attempts_away_total", counts.away),
+            ("onyxfall_attempts_away_total", counts.remote),
             ("onyxfall_router_refused_total", counts.refused),
             ("onyxfall_router_expired_total", counts.expired),
             ("onyxfall_retries_total", counts.retries),
--- a/crates/entry/src/peer/links.rs
+++ b/crates/entry/src/peer/links.rs
@@ -123,7 +123,7 @@
     }
     stream.set_read_timeout(None).map_err(|e| e.to_string())?;
     let now = core.now();
-    core.members.lock().hear(now, &member);
+    core.members.lock().receive(now, &member);
     let link = PeerLink::start(core, member, stream, writer)
         .map_err(|_| "cannot start a thread".to_owned())?;
     let (reader_core, reader_link) = (Arc::clone(core), Arc::clone(&link));
--- a/crates/entry/src/peer/listen.rs
+++ b/crates/entry/src/peer/listen.rs
@@ -86,7 +86,7 @@
         .map_err(|e| e.to_string())?;
     stream.set_read_timeout(None).map_err(text)?;
     let now = core.now();
-    core.members.lock().hear(now, &member);
+    core.members.lock().receive(now, &member);
     let link = PeerLink::start(core, member, stream, writer)
         .map_err(|_| "cannot start a thread".to_owned())?;
     core.links.record_accepted(&link);
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -112,7 +112,7 @@
     };
     core.with_router(|router| {
         if let Some(kind) = router.bundle().kind_id(context.kind.as_str()) {
-            router.note_first(kind);
+            router.record_first(kind);
         }
     });
     loop {
--- a/crates/fleet/benches/choice.rs
+++ b/crates/fleet/benches/choice.rs
@@ -99,7 +99,7 @@
             let choice = view.choose(now, &needs, &[], &mut rng);
             if let LocalOption::Free(choice) = black_box(choice) {
                 view.start_attempt(now, choice.server, number, &needs);
-                view.note_answer(at(number + 100), choice.server, number);
+                view.record_response(at(number + 100), choice.server, number);
                 let result = AttemptResult::Succeeded;
                 view.end_attempt(at(number + 900), choice.server, number, result, Some(50));
             }
--- a/crates/fleet/src/backup.rs
+++ b/crates/fleet/src/backup.rs
@@ -70,7 +70,7 @@
 
 impl FleetView {
     /// Records that a server broke the connection during a response.
-    pub fn note_crash(&mut self, now: Moment, id: ServerId) {
+    pub fn record_crash(&mut self, now: Moment, id: ServerId) {
         let service = self.server(id).record.service.clone();
         self.crashes_mut().entry(service).or_default().note(now, id);
     }
--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -34,7 +34,7 @@
 
 impl RetryShare {
     /// Records the first sending of a request.
-    pub fn note_first(&mut self, now: Moment) {
+    pub fn record_first(&mut self, now: Moment) {
         self.requests.push_back(now);
     }
 
--- a/crates/fleet/src/limit.rs
+++ b/crates/fleet/src/limit.rs
@@ -126,7 +126,7 @@
     }
 
     /// Records that a request is sent.
-    pub(crate) fn note_sent(&mut self, now: Moment) {
+    pub(crate) fn record_sent(&mut self, now: Moment) {
         self.sent = Some(now);
     }
 
--- a/crates/fleet/src/liveness.rs
+++ b/crates/fleet/src/liveness.rs
@@ -45,11 +45,11 @@
     ///
     /// ```
     /// use onyxfall_fleet::ServerVotes;
-    /// assert!(ServerVotes { good: 0, bad: 2 }.is_silent());
-    /// assert!(!ServerVotes { good: 0, bad: 1 }.is_silent());
-    /// assert!(!ServerVotes { good: 3, bad: 5 }.is_silent());
+    /// assert!(ServerVotes { good: 0, bad: 2 }.is_unresponsive());
+    /// assert!(!ServerVotes { good: 0, bad: 1 }.is_unresponsive());
+    /// assert!(!ServerVotes { good: 3, bad: 5 }.is_unresponsive());
     /// ```
-    pub const fn is_silent(self) -> bool {
+    pub const fn is_unresponsive(self) -> bool {
         self.bad >= MIN_BAD && self.bad >= self.good.saturating_mul(BAD_PER_GOOD)
     }
 
--- a/crates/fleet/src/predict.rs
+++ b/crates/fleet/src/predict.rs
@@ -131,7 +131,7 @@
 
     /// Records the first byte of an attempt. Returns the ratio of its time to the usual
     /// one.
-    pub fn note_answer(&mut self, now: Moment, id: ServerId, attempt: u64) -> Option<f64> {
+    pub fn record_response(&mut self, now: Moment, id: ServerId, attempt: u64) -> Option<f64> {
         let first_byte = self.server_mut(id).record_first_byte(now, attempt)?;
         // Times of a cold server do not apply to a warm one.
         if !self.learns_costs() || self.server(id).is_cold(now) {
--- a/crates/fleet/src/remote.rs
+++ b/crates/fleet/src/remote.rs
@@ -196,7 +196,7 @@
 impl RemoteTable {
     /// Applies a report of a region made at `reported_at`, with a round-trip time of
     /// `trip`. A report that is not newer than the last one is ignored.
-    pub fn hear(
+    pub fn apply(
         &mut self,
         reported_at: Moment,
         region: &RegionName,
@@ -233,7 +233,7 @@
 
     /// The reports of other regions that are still valid: region, time of the report
     /// and loads.
-    pub fn words(
+    pub fn reports(
         &self,
         now: Moment,
     ) -> impl Iterator<Item = (&RegionName, Moment, &BTreeMap<u32, ServiceLoad>)> {
@@ -245,7 +245,7 @@
 
     /// Records that a first byte came from a region after `took` where `predicted` was
     /// expected.
-    pub fn note_first(&mut self, region: &RegionName, predicted: Duration, took: Duration) {
+    pub fn record_first(&mut self, region: &RegionName, predicted: Duration, took: Duration) {
         let ratio = took.as_secs_f64().max(1e-3) / predicted.as_secs_f64().max(1e-3);
         let correction = self.corrections.entry(region.clone()).or_default();
         let (least, most) = CORRECTION_RANGE;
@@ -260,7 +260,7 @@
     }
 
     /// Records that a request is forwarded to the region of an option.
-    pub fn note_sent(&mut self, now: Moment, option: &RemoteOption, service_tag: u32) {
+    pub fn record_sent(&mut self, now: Moment, option: &RemoteOption, service_tag: u32) {
         if let Some(report) = self.reports.get_mut(&option.region) {
             let meter = report.rates.entry(service_tag);
             let micros = u64::try_from(option.work.as_micros()).unwrap_or(u64::MAX);
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -229,7 +229,7 @@
     /// extends the current backoff.
     pub(crate) fn record_backoff(&mut self, now: Moment, time: Duration) -> bool {
         let before = self.backoff.end(now);
-        self.backoff.ask(now, time);
+        self.backoff.request(now, time);
         self.backoff_requested_at = Some(now);
         self.backoff.end(now) > before
     }
@@ -259,7 +259,7 @@
     /// Applies signals that may be those of a former instance.
     pub(crate) fn apply_ambiguous(&mut self, now: Moment, signals: &AmbiguousSignals) {
         if signals.leaves {
-            self.backoff.ask(now, AMBIGUOUS_DRAINING);
+            self.backoff.request(now, AMBIGUOUS_DRAINING);
         }
         if let Some(backoff) = signals.rest {
             self.backoff.join(backoff);
@@ -446,8 +446,8 @@
         if self.circuit.allows(now) {
             self.circuit.start(now);
         }
-        self.backoff.note_sent(id);
-        self.limit.note_sent(now);
+        self.backoff.record_sent(id);
+        self.limit.record_sent(now);
         self.own = self.own.plus(work);
         let added_tokens = unread + needs.prompt.likely_output();
         self.flow.note(now, added_tokens);
@@ -474,7 +474,7 @@
             return None;
         }
         open.first_byte_at = Some(now);
-        self.backoff.note_taken(id);
+        self.backoff.record_taken(id);
         self.liveness.record_liveness(now);
         let prefilled = WorkShare {
             unread: open.work.unread,
@@ -510,7 +510,7 @@
         if let Some(open) = self.open.remove(&id) {
             self.own = self.own.without(open.work);
         }
-        self.backoff.note_end(id);
+        self.backoff.record_end(id);
         match result {
             AttemptResult::Succeeded => {
                 self.liveness.record_liveness(now);
@@ -526,10 +526,10 @@
             }
             AttemptResult::Shed => {
                 self.liveness.record_liveness(now);
-                self.circuit.forget();
+                self.circuit.record_unknown();
                 self.full_until = now + FULL_PAUSE;
             }
-            AttemptResult::Unknown => self.circuit.forget(),
+            AttemptResult::Unknown => self.circuit.record_unknown(),
         }
     }
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -356,15 +356,15 @@
     /// the server's requested backoff and the votes of all VMs.
     pub(crate) fn is_trusted(&self, now: Moment, id: ServerId) -> bool {
         let server = self.server(id);
-        server.is_trusted(now) && !self.is_silent(now, id)
+        server.is_trusted(now) && !self.is_unresponsive(now, id)
     }
 
     /// Whether a server is unresponsive by the votes of all VMs, or has restarted
     /// since.
-    pub fn is_silent(&self, now: Moment, id: ServerId) -> bool {
+    pub fn is_unresponsive(&self, now: Moment, id: ServerId) -> bool {
         let server = self.server(id);
         let votes = self.switches().is_on(DecisionSwitch::ServerVotes);
-        server.is_replaced() || (votes && server.votes(now).is_silent())
+        server.is_replaced() || (votes && server.votes(now).is_unresponsive())
     }
 
     /// Whether a server has capacity for another request. Some of the other VMs'
@@ -632,7 +632,7 @@
             self.by_tag.remove(&self.servers[id].tag());
             self.by_instance.remove(&self.servers[id].instance_hash());
             if self.servers[id].takes_work() {
-                self.note_crash(now, id);
+                self.record_crash(now, id);
             }
             self.servers[id].end_instance(now);
         }
--- a/crates/fleet/tests/backup.rs
+++ b/crates/fleet/tests/backup.rs
@@ -128,7 +128,7 @@
         view.set_switches(DecisionSwitches::new(ChoicePolicy::Expected, off));
         for (name, when) in case.crashed {
             let id = server(&view, name);
-            view.note_crash(at(*when), id);
+            view.record_crash(at(*when), id);
         }
         let needs = needs(case.input, case.keeps_backups);
         let source = server(&view, "s0");
--- a/crates/fleet/tests/balance.rs
+++ b/crates/fleet/tests/balance.rs
@@ -33,7 +33,7 @@
     let needs = needs();
     for attempt in 0..100 {
         view.start_attempt(at(attempt * 40), id, attempt, &needs);
-        view.note_answer(at(attempt * 40 + 30), id, attempt);
+        view.record_response(at(attempt * 40 + 30), id, attempt);
         let result = onyxfall_fleet::AttemptResult::Succeeded;
         view.end_attempt(at(attempt * 40 + 30), id, attempt, result, None);
     }
@@ -107,7 +107,7 @@
             ..ServiceLoad::default()
         };
         let loads = BTreeMap::from([(name_tag("svc"), load)]);
-        table.hear(at(0), &region.parse().unwrap(), Duration::ZERO, loads);
+        table.apply(at(0), &region.parse().unwrap(), Duration::ZERO, loads);
     }
     let own = "r0".parse().unwrap();
     let (needs, trips) = (needs(), RoundTrips::default());
--- a/crates/fleet/tests/choice.rs
+++ b/crates/fleet/tests/choice.rs
@@ -217,7 +217,7 @@
             ..WorkShare::default()
         }
     );
-    view.note_answer(at(5), id, 1);
+    view.record_response(at(5), id, 1);
     let own = view.server(id).own_work(at(5));
     assert_eq!(own.unread.total(), 0, "the prompt is prefilled");
     view.end_attempt(at(9), id, 1, AttemptResult::Succeeded, None);
@@ -289,7 +289,7 @@
             spare: 0,
         };
         let loads = BTreeMap::from([(name_tag("svc"), load)]);
-        table.hear(at(0), &"r1".parse().unwrap(), Duration::ZERO, loads);
+        table.apply(at(0), &"r1".parse().unwrap(), Duration::ZERO, loads);
         let mut needs = needs(500, 1000);
         needs.homes = homes(case.homes);
         let excluded: Vec<RegionName> = case
@@ -324,7 +324,7 @@
         spare: 0,
     };
     let tags = [name_tag("svc"), name_tag("other")];
-    table.hear(
+    table.apply(
         at(0),
         &"r1".parse().unwrap(),
         Duration::ZERO,
@@ -349,7 +349,7 @@
     let before = best(&table, &plain, tags[0]);
     for _ in 0..30 {
         let option = best(&table, &plain, tags[0]);
-        table.note_sent(at(0), &option, tags[0]);
+        table.record_sent(at(0), &option, tags[0]);
     }
     let after = best(&table, &plain, tags[0]);
     // Thirty requests of 5 ms over two servers.
@@ -390,17 +390,17 @@
     let trip = Duration::from_millis(100);
     // Another VM that sends 20 ms of work every 100 ms reports its rate.
     let mut peer = RemoteTable::default();
-    peer.hear(at(0), &region, trip, loads());
+    peer.apply(at(0), &region, trip, loads());
     for turn in 0..100 {
         let now = at(turn * 100);
-        peer.hear(now, &region, trip, loads());
+        peer.apply(now, &region, trip, loads());
         let option = peer.best(now, &search).unwrap();
-        peer.note_sent(now, &option, search.service_tag);
+        peer.record_sent(now, &option, search.service_tag);
     }
     let (tag, rate) = peer.own_rates(at(9900)).next().unwrap();
     assert!((0.15..0.27).contains(&rate), "{rate}");
     let mut table = RemoteTable::default();
-    table.hear(at(10_000), &region, trip, loads());
+    table.apply(at(10_000), &region, trip, loads());
     let first = |table: &RemoteTable, ms| table.best(at(ms), &search).unwrap().predicted.first;
     let before = first(&table, 10_000);
     let now = at(10_000);
@@ -416,7 +416,7 @@
         );
     }
     // Work that has been sent for a while is part of the report.
-    table.hear(at(20_000), &region, trip, loads());
+    table.apply(at(20_000), &region, trip, loads());
     assert!(added(&table, 20_000) < Duration::from_millis(1));
 }
 
@@ -535,7 +535,7 @@
         let now = id * 10_000;
         let call = needs(0, 100 + id);
         view.start_attempt(at(now), ids[0], id, &call);
-        view.note_answer(at(now + 50), ids[0], id);
+        view.record_response(at(now + 50), ids[0], id);
         view.end_attempt(
             at(now + 850),
             ids[0],
--- a/crates/fleet/tests/herd.rs
+++ b/crates/fleet/tests/herd.rs
@@ -112,7 +112,7 @@
             for request in server.step(now) {
                 outcome.slow += u32::from(now - request.sent > SLOW_MS);
                 let result = AttemptResult::Succeeded;
-                views[request.vm].note_answer(at(now), *id, request.attempt);
+                views[request.vm].record_response(at(now), *id, request.attempt);
                 views[request.vm].end_attempt(at(now), *id, request.attempt, result, None);
             }
         }
--- a/crates/fleet/tests/learn.rs
+++ b/crates/fleet/tests/learn.rs
@@ -197,7 +197,7 @@
             let took = (40.0 + input as f64 / 30.0) * factor;
             view.start_attempt(at(now), *server, id, &needs(id, input));
             let end = Moment::from_duration(Duration::from_secs_f64((now as f64 + took) / 1e3));
-            view.note_answer(end, *server, id);
+            view.record_response(end, *server, id);
             view.end_attempt(end, *server, id, AttemptResult::Succeeded, None);
         }
     }
@@ -400,7 +400,7 @@
                 needs(number, 10_000)
             };
             view.start_attempt(now, server, number, &call);
-            view.note_answer(now, server, number);
+            view.record_response(now, server, number);
             view.end_attempt(now, server, number, AttemptResult::Succeeded, None);
         }
         let now = at(case.following * 100);
--- a/crates/fleet/tests/liveness.rs
+++ b/crates/fleet/tests/liveness.rs
@@ -76,7 +76,7 @@
     name: &'static str,
     /// Observation of each VM.
     vms: &'static [Observation],
-    is_silent: bool,
+    is_unresponsive: bool,
 }
 
 /// Observation of a server by one VM.
@@ -95,32 +95,32 @@
         VoteCase {
             name: "no VM has an observation",
             vms: &[Nothing, Nothing],
-            is_silent: false,
+            is_unresponsive: false,
         },
         VoteCase {
             name: "one VM loses its connection",
             vms: &[Disconnect, Nothing, Nothing],
-            is_silent: false,
+            is_unresponsive: false,
         },
         VoteCase {
             name: "two VMs lose their connections",
             vms: &[Disconnect, Disconnect, Nothing],
-            is_silent: true,
+            is_unresponsive: true,
         },
         VoteCase {
             name: "two VMs have overdue responses",
             vms: &[Overdue, Overdue, Nothing],
-            is_silent: true,
+            is_unresponsive: true,
         },
         VoteCase {
             name: "others have received responses",
             vms: &[Disconnect, Overdue, Response, Response],
-            is_silent: false,
+            is_unresponsive: false,
         },
         VoteCase {
             name: "three bad votes against one good vote",
             vms: &[Disconnect, Disconnect, Overdue, Response],
-            is_silent: true,
+            is_unresponsive: true,
         },
     ];
     for case in cases {
@@ -130,7 +130,7 @@
             match observation {
                 Response => {
                     view.start_attempt(at(900), id, 1, &needs());
-                    view.note_answer(at(1900), id, 1);
+                    view.record_response(at(1900), id, 1);
                 }
                 Disconnect => {
                     view.start_attempt(at(900), id, 1, &needs());
@@ -144,8 +144,8 @@
         exchange(&mut views, id, at(2000));
         for view in &views {
             assert_eq!(
-                view.is_silent(at(2000), id),
-                case.is_silent,
+                view.is_unresponsive(at(2000), id),
+                case.is_unresponsive,
                 "{}",
                 case.name
             );
@@ -183,7 +183,7 @@
         for (_, vm, attempt) in due {
             let has_network = vm != 2;
             if has_network {
-                views[vm].note_answer(at(now), id, attempt);
+                views[vm].record_response(at(now), id, attempt);
                 views[vm].end_attempt(at(now), id, attempt, AttemptResult::Succeeded, None);
             } else {
                 views[vm].end_attempt(at(now), id, attempt, AttemptResult::Broken, None);
@@ -191,8 +191,8 @@
         }
         if now % 100 == 0 {
             exchange(&mut views, id, at(now));
-            let is_silent = views.iter().any(|view| view.is_silent(at(now), id));
-            assert!(!is_silent, "at {now} ms");
+            let is_unresponsive = views.iter().any(|view| view.is_unresponsive(at(now), id));
+            assert!(!is_unresponsive, "at {now} ms");
         }
     }
 }
@@ -207,16 +207,16 @@
             let now = number * 100 + 7 * vm as u64;
             view.start_attempt(at(now), id, number, &needs());
             if now < 1000 {
-                view.note_answer(at(now + 40), id, number);
+                view.record_response(at(now + 40), id, number);
                 view.end_attempt(at(now + 40), id, number, AttemptResult::Succeeded, None);
             }
         }
         views.push(view);
     }
     exchange(&mut views, id, at(1100));
-    assert!(!views[0].is_silent(at(1100), id));
+    assert!(!views[0].is_unresponsive(at(1100), id));
     exchange(&mut views, id, at(2000));
     for view in &views {
-        assert!(view.is_silent(at(2000), id));
+        assert!(view.is_unresponsive(at(2000), id));
     }
 }
--- a/crates/fleet/tests/shares.rs
+++ b/crates/fleet/tests/shares.rs
@@ -42,7 +42,7 @@
             now += pause;
             let share = &mut shares[who % vms];
             if is_first {
-                share.note_first(at(now));
+                share.record_first(at(now));
                 firsts.push(now);
             } else if share.try_repeat(at(now), &limits, Some(known)) {
                 retries.push(now);
@@ -70,7 +70,7 @@
     ) {
         let limits = BudgetLimits { ratio: 0.2, extra: f64::from(extra), window: WINDOW };
         let mut share = RetryShare::default();
-        (0..firsts).for_each(|_| share.note_first(at(0)));
+        (0..firsts).for_each(|_| share.record_first(at(0)));
         let retries = (0..tries).filter(|_| share.try_repeat(at(1), &limits, None)).count();
         prop_assert!(retries as f64 <= limits.ratio * firsts as f64);
     }
--- a/crates/fleet/tests/signals.rs
+++ b/crates/fleet/tests/signals.rs
@@ -315,7 +315,7 @@
         "the others wait"
     );
     assert!(fleet.may_send(at(1001), id), "the probe itself may be sent");
-    fleet.note_answer(at(1010), id, 1);
+    fleet.record_response(at(1010), id, 1);
     assert!(
         is_free(choose(&mut fleet, at(1010))),
         "the server is available again"
--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -285,7 +285,9 @@
         };
         let tag = name_tag(call.needs.service.as_str());
         let now = self.now();
-        self.remote_table.borrow_mut().note_sent(now, &remote, tag);
+        self.remote_table
+            .borrow_mut()
+            .record_sent(now, &remote, tag);
         RouteStep::Peer(PeerTarget {
             vm: target.vm,
             address: target.address,
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -68,7 +68,7 @@
         .collect();
     let stopping: Vec<&VmRecord> = alive()
         .filter(|vm| vm.status.is_leaving)
-        .chain(gateway.is_leaving().then(|| roster.own()))
+        .chain(gateway.is_shutting_down().then(|| roster.own()))
         .collect();
     let homes = homes_of(gateway, query);
     let center = |vm: &VmRecord| Some(vm.center.as_str()) == query.center.as_deref();
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -105,7 +105,7 @@
     pub(crate) send_updates_now: Notify,
     pub(crate) queries: WorkQueries,
     /// Notified when a server becomes unresponsive.
-    pub(crate) silence: Notify,
+    pub(crate) unresponsive: Notify,
     /// Servers that were unresponsive at the last check.
     pub(crate) unresponsive_servers: RefCell<BTreeSet<ServerId>>,
     /// Notified to send store changes to the VMs that report to this one.
@@ -189,7 +189,7 @@
             suspension: Cell::new(SuspensionWatch::start()),
             send_updates_now: Notify::new(),
             queries: WorkQueries::default(),
-            silence: Notify::new(),
+            unresponsive: Notify::new(),
             unresponsive_servers: RefCell::default(),
             send_deltas_now: Notify::new(),
             rng: RefCell::new(StdRng::from_os_rng()),
@@ -239,13 +239,13 @@
     }
 
     /// Whether shutdown has begun.
-    pub(crate) fn is_leaving(&self) -> bool {
+    pub(crate) fn is_shutting_down(&self) -> bool {
         self.shutdown_requested.get().is_some()
     }
 
     /// Whether the VM accepts requests from callers.
     pub(crate) fn is_ready(&self) -> bool {
-        self.table.borrow().is_some() && !self.is_leaving()
+        self.table.borrow().is_some() && !self.is_shutting_down()
     }
 
     /// Number of open streams.
@@ -264,7 +264,10 @@
     pub(crate) fn record_first_request(&self, service: &ServiceName) {
         let now = self.now();
         let mut retries = self.retries.borrow_mut();
-        retries.entry(service.clone()).or_default().note_first(now);
+        retries
+            .entry(service.clone())
+            .or_default()
+            .record_first(now);
     }
 
     /// Number of VMs, including those lost recently. `None` until this VM is old enough to
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -108,7 +108,7 @@
 }
 
 /// Notifies every VM at once of a change of this VM's status; used at shutdown.
-pub(crate) fn tell_all(gateway: &Rc<Gateway>) {
+pub(crate) fn notify_all(gateway: &Rc<Gateway>) {
     gateway.refresh_status();
     gateway.send_updates_now.notify_waiters();
 }
@@ -431,6 +431,6 @@
     let record = vm_record(hello.vm.as_ref()?, &settings.place.centers)?;
     let now = gateway.now();
     let mut overlay = gateway.overlay.borrow_mut();
-    overlay.roster_mut().hear(now, &record);
+    overlay.roster_mut().receive(now, &record);
     Some(record)
 }
--- a/crates/gateway/src/listen.rs
+++ b/crates/gateway/src/listen.rs
@@ -193,7 +193,7 @@
         Err(error) => {
             gateway
                 .metrics
-                .note_end("none", error.reason.as_str(), arrived.elapsed());
+                .record_end("none", error.reason.as_str(), arrived.elapsed());
             log::info!(
                 request = request_id.as_deref().unwrap_or("none"),
                 reason = error.reason.as_str(),
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -50,7 +50,7 @@
 
 impl GatewayMetrics {
     /// Records the end of a request of `route`.
-    pub(crate) fn note_end(&self, route: &str, outcome: &str, age: Duration) {
+    pub(crate) fn record_end(&self, route: &str, outcome: &str, age: Duration) {
         let key = (route.to_owned(), outcome.to_owned());
         *self.ends.borrow_mut().entry(key).or_default() += 1;
         let mut times = self.times.borrow_mut();
--- a/crates/gateway/src/open.rs
+++ b/crates/gateway/src/open.rs
@@ -80,7 +80,7 @@
     pub(crate) fn record_first_byte(&self) {
         let now = self.gateway.now();
         let mut fleet = self.gateway.fleet.borrow_mut();
-        let ratio = fleet.note_answer(now, self.server, self.id);
+        let ratio = fleet.record_response(now, self.server, self.id);
         self.ratio
             .set(ratio.filter(|_| fleet.is_warm(now, self.server)));
     }
@@ -111,7 +111,7 @@
         let mut fleet = self.gateway.fleet.borrow_mut();
         let was_trusted = fleet.server(self.server).is_trusted(now);
         if result == AttemptResult::Broken && events.is_some() {
-            fleet.note_crash(now, self.server);
+            fleet.record_crash(now, self.server);
         }
         let interval_ratio = fleet.end_attempt(now, self.server, self.id, result, events);
         let state = fleet.server(self.server);
--- a/crates/gateway/src/report.rs
+++ b/crates/gateway/src/report.rs
@@ -18,7 +18,7 @@
     ) {
         let age = call.age();
         self.record_own_change();
-        self.metrics.note_end(&call.route, outcome, age);
+        self.metrics.record_end(&call.route, outcome, age);
         log::info!(
             request = call.request_id.as_str(),
             route = call.route.as_str(),
@@ -50,7 +50,7 @@
     ) {
         let age = call.age();
         self.metrics
-            .note_end(&call.route, error.reason.as_str(), age);
+            .record_end(&call.route, error.reason.as_str(), age);
         log::warn!(
             request = call.request_id.as_str(),
             route = call.route.as_str(),
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -301,7 +301,7 @@
     }
 
     fn due_rollout_writes(&self) -> Vec<RolloutWrite> {
-        if self.rollouts.borrow().is_empty() || self.is_leaving() {
+        if self.rollouts.borrow().is_empty() || self.is_shutting_down() {
             return Vec::new();
         }
         let Some(writer) = self.store_writer() else {
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -217,7 +217,7 @@
                 if matches!(end, AttemptEnd::Response(_)) && is_predicted {
                     let took = call.age().saturating_sub(progress.sent);
                     let mut table = gateway.remote_table.borrow_mut();
-                    table.note_first(&target.region, target.predicted.first, took);
+                    table.record_first(&target.region, target.predicted.first, took);
                 }
                 return Ok(end);
             }
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -11,7 +11,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::gateway::Gateway;
-use crate::links::tell_all;
+use crate::links::notify_all;
 use onyxfall_clock::BootInstant;
 
 /// Time after the signal during which all requests are accepted: callers keep their VM lists
@@ -34,7 +34,7 @@
     wait_for_signal().await;
     gateway.shutdown_requested.set(Some(BootInstant::now()));
     log::info!(open = gateway.open_requests.get(); "stopping");
-    tell_all(gateway);
+    notify_all(gateway);
     let end = shutdown_end(gateway);
     while BootInstant::now() < end {
         tokio::time::sleep(POLL_INTERVAL).await;
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -220,7 +220,7 @@
 
     /// Adds suspect changes since the last update on a link to `update`.
     pub(crate) fn collect_suspects(&self, cursor: &mut SuspectCursor, update: &mut VmUpdate) {
-        let changes = self.suspects.borrow().table.tell(self.now(), cursor);
+        let changes = self.suspects.borrow().table.next_update(self.now(), cursor);
         if !changes.is_empty() {
             wire_suspects(&changes, update);
         }
--- a/crates/gateway/src/unresponsive.rs
+++ b/crates/gateway/src/unresponsive.rs
@@ -15,8 +15,8 @@
 /// Waits until a server is judged unresponsive.
 pub(crate) async fn wait_until_unresponsive(gateway: Rc<Gateway>, server: ServerId) {
     loop {
-        let notified = gateway.silence.notified();
-        if gateway.is_silent(server) {
+        let notified = gateway.unresponsive.notified();
+        if gateway.is_unresponsive(server) {
             return;
         }
         notified.await;
@@ -26,7 +26,7 @@
 /// Waits until a server has restarted: whatever ran on the old instance is lost.
 pub(crate) async fn wait_for_replacement(gateway: Rc<Gateway>, server: ServerId) {
     loop {
-        let notified = gateway.silence.notified();
+        let notified = gateway.unresponsive.notified();
         if gateway.fleet.borrow().server(server).is_replaced() {
             return;
         }
@@ -36,9 +36,9 @@
 
 impl Gateway {
     /// Whether a server is judged unresponsive.
-    pub(crate) fn is_silent(&self, server: ServerId) -> bool {
+    pub(crate) fn is_unresponsive(&self, server: ServerId) -> bool {
         let now = self.now();
-        self.fleet.borrow().is_silent(now, server)
+        self.fleet.borrow().is_unresponsive(now, server)
     }
 
     /// Looks for servers that have become unresponsive by passage of time alone: a response to
@@ -57,9 +57,9 @@
     /// wait for it to become unresponsive.
     pub(crate) fn update_unresponsive(&self, now: Moment, server: ServerId) {
         let fleet = self.fleet.borrow();
-        let is_silent = fleet.is_silent(now, server);
+        let is_unresponsive = fleet.is_unresponsive(now, server);
         let mut unresponsive = self.unresponsive_servers.borrow_mut();
-        let has_changed = if is_silent {
+        let has_changed = if is_unresponsive {
             unresponsive.insert(server)
         } else {
             unresponsive.remove(&server)
@@ -70,14 +70,14 @@
         let votes = fleet.server(server).votes(now);
         log::info!(
             server = fleet.server(server).record.name.as_str(),
-            silent = is_silent,
+            silent = is_unresponsive,
             good = votes.good,
             bad = votes.bad;
             "server responsiveness changed"
         );
-        if is_silent {
+        if is_unresponsive {
             self.metrics.count("onyxfall_silent_servers_total");
-            self.silence.notify_waiters();
+            self.unresponsive.notify_waiters();
         }
     }
 }
--- a/crates/gateway/src/updates.rs
+++ b/crates/gateway/src/updates.rs
@@ -65,7 +65,7 @@
         let update = self
             .overlay
             .borrow_mut()
-            .tell(now, relation, peer, &mut sent.link);
+            .next_update(now, relation, peer, &mut sent.link);
         let mut update = wire_update(&update);
         let copy = self.mirror.borrow().state();
         update.copy_hash = copy.hash;
@@ -92,7 +92,7 @@
         let relation = message.relation;
         let received = self.overlay.borrow_mut().take(now, from, &message);
         self.metrics
-            .count_more("onyxfall_absurd_work_total", received.absurd as u64);
+            .count_more("onyxfall_absurd_work_total", received.implausible as u64);
         if received.is_cut {
             return None;
         }
@@ -126,7 +126,7 @@
     pub(crate) fn refresh_status(&self) {
         let status = VmStatus {
             is_ready: self.is_ready(),
-            is_leaving: self.is_leaving(),
+            is_leaving: self.is_shutting_down(),
             watches_store: self.store.borrow().is_watched(),
         };
         if self.overlay.borrow_mut().roster_mut().set_status(status) {
@@ -227,7 +227,7 @@
             LinkRelation::Digest | LinkRelation::StandbyDigest => self
                 .remote_table
                 .borrow()
-                .words(now)
+                .reports(now)
                 .filter(|(region, at, _)| sent.insert((*region).clone(), *at) != Some(*at))
                 .map(|(region, at, loads)| RegionLoadEntry {
                     region: region.to_string(),
@@ -276,7 +276,7 @@
                 .receive(reported_at, &region, &demands);
             self.remote_table
                 .borrow_mut()
-                .hear(reported_at, &region, trip, loads.collect());
+                .apply(reported_at, &region, trip, loads.collect());
         }
     }
 
--- a/crates/overlay/src/node.rs
+++ b/crates/overlay/src/node.rs
@@ -116,7 +116,7 @@
     }
 
     /// Builds the message that is due on a link. `peer` is required for digests only.
-    pub fn tell(
+    pub fn next_update(
         &mut self,
         now: Moment,
         relation: LinkRelation,
@@ -135,7 +135,8 @@
             relation,
             record,
             word: self.roster_update(relation, link),
-            work: work_view(relation, peer).map(|view| self.totals.tell(view, &mut link.work)),
+            work: work_view(relation, peer)
+                .map(|view| self.totals.next_update(view, &mut link.work)),
             is_warm: self.is_warm(now),
         }
     }
@@ -159,7 +160,7 @@
     /// Applies a received message.
     pub fn take(&mut self, now: Moment, from: &VmName, update: &OverlayUpdate) -> ReceivedWork {
         match &update.record {
-            Some(record) if record.name == *from => self.roster.hear(now, record),
+            Some(record) if record.name == *from => self.roster.receive(now, record),
             _ => self.roster.renew(now, from),
         }
         let is_known = match (&update.word, update.relation.scope()) {
--- a/crates/overlay/src/roster.rs
+++ b/crates/overlay/src/roster.rs
@@ -163,7 +163,7 @@
     }
 
     /// Records a message from a VM that carries its record.
-    pub fn hear(&mut self, now: Moment, record: &VmRecord) {
+    pub fn receive(&mut self, now: Moment, record: &VmRecord) {
         self.apply_record(now, record);
         if let Some(known) = self.vms.get_mut(&record.name) {
             known.received = Some(now);
--- a/crates/overlay/src/totals.rs
+++ b/crates/overlay/src/totals.rs
@@ -90,7 +90,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReceivedWork {
     /// Number of implausible entries that were rejected.
-    pub absurd: usize,
+    pub implausible: usize,
     /// Whether a message that this one builds on is missing, so that a complete update must
     /// be sent.
     pub is_cut: bool,
@@ -190,7 +190,7 @@
         let key = (from.clone(), origin);
         if !update.is_whole && !self.origins.contains_key(&key) {
             return ReceivedWork {
-                absurd: 0,
+                implausible: 0,
                 is_cut: true,
             };
         }
@@ -208,11 +208,11 @@
             HashMap::new()
         };
         let none = WorkShare::default();
-        let mut absurd = 0;
+        let mut implausible = 0;
         let mut changes: Vec<(ServerTag, WorkShare, WorkShare)> = Vec::new();
         for entry in &update.entries {
             if !is_plausible(&entry.share) {
-                absurd += 1;
+                implausible += 1;
                 continue;
             }
             let whole = unnamed.remove(&entry.server);
@@ -229,7 +229,7 @@
             }
         }
         ReceivedWork {
-            absurd,
+            implausible,
             is_cut: false,
         }
     }
@@ -330,7 +330,7 @@
     }
 
     /// Builds the update of a sum that follows the state already sent on a link.
-    pub fn tell(&self, view: WorkView<'_>, cursor: &mut WorkCursor) -> WorkUpdate {
+    pub fn next_update(&self, view: WorkView<'_>, cursor: &mut WorkCursor) -> WorkUpdate {
         let before = cursor.0;
         cursor.0 = Some(self.clock);
         let excluded = match view {
--- a/crates/overlay/tests/roster.rs
+++ b/crates/overlay/tests/roster.rs
@@ -109,7 +109,7 @@
     for case in cases {
         let mut roster = roster();
         let sender = record(1, case.sender, 1, 0);
-        roster.hear(at(0), &sender);
+        roster.receive(at(0), &sender);
         let named = record(2, case.named, 1, 0);
         roster.apply_update(at(0), &sender.name, &update(case.scope, true, vec![named]));
         assert_eq!(evidence(&roster, 2), case.expected, "{}", case.name);
@@ -120,7 +120,7 @@
 fn fleet_evidence_is_not_forwarded_as_own_evidence() {
     let mut roster = roster();
     let sender = record(1, 0, 1, 0);
-    roster.hear(at(0), &sender);
+    roster.receive(at(0), &sender);
     let named = record(2, 0, 1, 0);
     roster.apply_update(
         at(0),
@@ -137,7 +137,7 @@
 fn a_paused_sender_continues_from_its_last_update() {
     let mut roster = roster();
     let sender = record(1, 0, 1, 0);
-    roster.hear(at(0), &sender);
+    roster.receive(at(0), &sender);
     let named = record(2, 0, 1, 0);
     roster.apply_update(
         at(0),
@@ -154,7 +154,7 @@
 fn a_difference_without_a_complete_update_is_rejected() {
     let mut roster = roster();
     let sender = record(1, 0, 1, 0);
-    roster.hear(at(0), &sender);
+    roster.receive(at(0), &sender);
     let difference = update(UpdateScope::Own, false, vec![record(2, 0, 1, 0)]);
     assert!(!roster.apply_update(at(0), &sender.name, &difference));
     assert_eq!(evidence(&roster, 2), Evidence::None);
@@ -163,7 +163,7 @@
 #[test]
 fn a_later_incarnation_of_the_own_name_is_exceeded() {
     let mut roster = roster();
-    roster.hear(at(0), &record(0, 0, 9, 0));
+    roster.receive(at(0), &record(0, 0, 9, 0));
     let own = roster.own().version.incarnation;
     assert_eq!(own, Incarnation::new(10));
 }
@@ -224,7 +224,7 @@
         for step in steps {
             match step {
                 Step::Receive(vm, incarnation, change) => {
-                    roster.hear(at(now), &record(vm, region(vm), incarnation, change));
+                    roster.receive(at(now), &record(vm, region(vm), incarnation, change));
                     last_update[vm] = Some(now);
                 }
                 Step::Update(sender, scope, is_whole, named) => {
--- a/crates/overlay/tests/support/mod.rs
+++ b/crates/overlay/tests/support/mod.rs
@@ -218,7 +218,7 @@
             for index in self.living() {
                 self.step(index);
             }
-            self.tell_digests();
+            self.send_digests();
         }
     }
 
@@ -337,7 +337,7 @@
     }
 
     /// Aggregators tell their members the sums that are due.
-    fn tell_digests(&mut self) {
+    fn send_digests(&mut self) {
         let reports = self.links.iter();
         let reports = reports.filter(|(_, link)| link.relation == Some(LinkRelation::Report));
         let reports: Vec<(usize, usize)> = reports.map(|(pair, _)| *pair).collect();
@@ -352,7 +352,7 @@
                 .plan(self.now)
                 .interval(LinkRelation::Digest, has_changes);
             if self.now >= told + interval {
-                self.tell_digest(member, aggregator);
+                self.send_digest(member, aggregator);
             }
         }
     }
@@ -376,10 +376,12 @@
         link.digest_told = Some(now);
         let [own, other] = &names;
         let forward = &mut link.forward;
-        let report = self.nodes[member].tell(now, LinkRelation::Report, Some(other), forward);
+        let report =
+            self.nodes[member].next_update(now, LinkRelation::Report, Some(other), forward);
         self.nodes[aggregator].take(now, own, &report);
         let backward = &mut link.backward;
-        let digest = self.nodes[aggregator].tell(now, LinkRelation::Digest, Some(own), backward);
+        let digest =
+            self.nodes[aggregator].next_update(now, LinkRelation::Digest, Some(own), backward);
         self.nodes[member].take(now, other, &digest);
         for (index, update) in [(member, &report), (aggregator, &digest)] {
             self.counts[index] += 2;
@@ -387,7 +389,7 @@
         }
     }
 
-    fn tell_digest(&mut self, member: usize, aggregator: usize) {
+    fn send_digest(&mut self, member: usize, aggregator: usize) {
         if let Some(link) = self.links.get_mut(&(member, aggregator)) {
             link.digest_told = Some(self.now);
         }
@@ -465,7 +467,7 @@
         } else {
             &mut link.backward
         };
-        let update = self.nodes[from].tell(self.now, relation, Some(&peer), state);
+        let update = self.nodes[from].next_update(self.now, relation, Some(&peer), state);
         let life = link.life;
         self.counts[from] += 1;
         self.entries[from] += entries_of(&update);
@@ -520,7 +522,7 @@
                 Some(LinkRelation::Digest) => {
                     let link = &self.links[&pair];
                     if link.digest_told.is_none() {
-                        self.tell_digest(frame.from, frame.to);
+                        self.send_digest(frame.from, frame.to);
                     }
                 }
                 Some(answer) => self.send(frame.to, frame.from, answer, false, false),
--- a/crates/overlay/tests/totals.rs
+++ b/crates/overlay/tests/totals.rs
@@ -52,7 +52,7 @@
 
 impl Reader {
     fn read(&mut self, totals: &WorkTotals, view: WorkView<'_>) {
-        let update = totals.tell(view, &mut self.cursor);
+        let update = totals.next_update(view, &mut self.cursor);
         if update.is_whole {
             self.known.clear();
         }
@@ -146,7 +146,7 @@
     }
 }
 
-struct AbsurdCase {
+struct ImplausibleCase {
     name: &'static str,
     share: WorkShare,
 }
@@ -154,28 +154,28 @@
 #[test]
 fn implausible_work_is_rejected_and_counted() {
     let cases = [
-        AbsurdCase {
+        ImplausibleCase {
             name: "requests",
             share: WorkShare {
                 requests: u32::MAX,
                 ..WorkShare::default()
             },
         },
-        AbsurdCase {
+        ImplausibleCase {
             name: "unread tokens",
             share: WorkShare {
                 unread: PrefillTokens::of(0, u64::MAX),
                 ..WorkShare::default()
             },
         },
-        AbsurdCase {
+        ImplausibleCase {
             name: "memory",
             share: WorkShare {
                 memory: u64::MAX,
                 ..WorkShare::default()
             },
         },
-        AbsurdCase {
+        ImplausibleCase {
             name: "flow",
             share: WorkShare {
                 flow: u64::MAX,
@@ -194,7 +194,7 @@
             }],
         };
         let received = totals.take(at(0), &vm(1), WorkOrigin::Partial, &implausible);
-        assert_eq!(received.absurd, 1, "{}", case.name);
+        assert_eq!(received.implausible, 1, "{}", case.name);
         assert_eq!(totals.others(ServerTag(0)), share(2), "{}", case.name);
     }
 }
@@ -204,7 +204,7 @@
     let mut totals = WorkTotals::default();
     let received = totals.take(at(0), &vm(1), WorkOrigin::Member, &update(false, &[(0, 2)]));
     let expected = ReceivedWork {
-        absurd: 0,
+        implausible: 0,
         is_cut: true,
     };
     assert_eq!(received, expected);
--- a/crates/policy/src/backoff.rs
+++ b/crates/policy/src/backoff.rs
@@ -26,13 +26,13 @@
 /// use std::time::Duration;
 /// let second = Duration::from_secs(1);
 /// let mut backoff = ServerBackoff::default();
-/// backoff.ask(Moment::ZERO, second);
+/// backoff.request(Moment::ZERO, second);
 /// assert!(!backoff.allows(Moment::ZERO));
 /// let end = Moment::ZERO + second;
 /// assert!(backoff.allows(end));
-/// backoff.note_sent(7);
+/// backoff.record_sent(7);
 /// assert!(!backoff.allows(end), "one trial at a time");
-/// backoff.note_taken(7);
+/// backoff.record_taken(7);
 /// assert!(backoff.allows(end));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
@@ -48,7 +48,7 @@
 impl ServerBackoff {
     /// Records that the server requests a backoff of `time` from now on. A backoff that
     /// ends before the current one does not shorten it: the server has requested both.
-    pub fn ask(&mut self, now: Moment, time: Duration) {
+    pub fn request(&mut self, now: Moment, time: Duration) {
         self.until = self.until.max(now + time.min(MAX_BACKOFF));
         self.awaits_trial = true;
         self.trial = None;
@@ -72,21 +72,21 @@
     }
 
     /// Records that an attempt is sent to the server.
-    pub fn note_sent(&mut self, attempt: u64) {
+    pub fn record_sent(&mut self, attempt: u64) {
         if self.awaits_trial {
             self.trial.get_or_insert(attempt);
         }
     }
 
     /// Records that the server has accepted an attempt, which ends the trial.
-    pub fn note_taken(&mut self, attempt: u64) {
+    pub fn record_taken(&mut self, attempt: u64) {
         if self.trial == Some(attempt) {
             *self = Self::default();
         }
     }
 
     /// Records that an attempt has ended, whatever its outcome.
-    pub fn note_end(&mut self, attempt: u64) {
+    pub fn record_end(&mut self, attempt: u64) {
         if self.trial == Some(attempt) {
             self.trial = None;
         }
--- a/crates/policy/src/center.rs
+++ b/crates/policy/src/center.rs
@@ -142,7 +142,7 @@
     }
 
     /// Records a measured round-trip time.
-    pub fn note_rtt(&mut self, center: CenterId, rtt: Duration) {
+    pub fn record_rtt(&mut self, center: CenterId, rtt: Duration) {
         if self.views.get(center).is_some() {
             let view = &mut self.views[center];
             let old = view.rtt.as_secs_f64();
--- a/crates/policy/src/circuit.rs
+++ b/crates/policy/src/circuit.rs
@@ -130,7 +130,7 @@
 
     /// Records the end of an attempt whose outcome implies nothing about the server,
     /// such as a cancelled one. Allows the next probe if the breaker is half-open.
-    pub fn forget(&mut self) {
+    pub fn record_unknown(&mut self) {
         if let CircuitState::HalfOpen { .. } = self.state {
             self.state = CircuitState::HalfOpen { probing: false };
         }
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -114,7 +114,7 @@
 
     /// Applies a heartbeat; returns whether it changed a member's state or
     /// incarnation.
-    pub fn hear(&mut self, now: Moment, beat: &MemberHeartbeat) -> bool {
+    pub fn receive(&mut self, now: Moment, beat: &MemberHeartbeat) -> bool {
         if beat.name == self.own.name {
             return self.receive_own(beat.incarnation);
         }
@@ -201,7 +201,7 @@
             member.state = member.state.max(MemberState::Suspect);
         }
         for beat in beats.iter().filter(|beat| beat.center == *center) {
-            self.hear(now, beat);
+            self.receive(now, beat);
         }
     }
 
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -31,7 +31,7 @@
     }
 
     /// Records a first attempt.
-    pub fn note_first(&mut self) {
+    pub fn record_first(&mut self) {
         self.tokens = (self.tokens + DEPOSIT).min(MAX_SAVED);
     }
 
--- a/crates/policy/src/router/capacity.rs
+++ b/crates/policy/src/router/capacity.rs
@@ -129,7 +129,7 @@
     }
 
     /// Open requests of data centre `center` that this VM received.
-    pub fn from_away(&self, center: CenterId, model: ModelId) -> u32 {
+    pub fn from_remote(&self, center: CenterId, model: ModelId) -> u32 {
         self.pools[model]
             .from_remote
             .get(&center)
--- a/crates/policy/src/router/decide.rs
+++ b/crates/policy/src/router/decide.rs
@@ -204,7 +204,7 @@
                 expected,
             },
         );
-        self.counts.away += 1;
+        self.counts.remote += 1;
         RouteStep::Forward { attempt, center }
     }
 }
--- a/crates/policy/src/router/kinds.rs
+++ b/crates/policy/src/router/kinds.rs
@@ -162,7 +162,7 @@
     /// Attempts run on local servers.
     pub local: u64,
     /// Attempts forwarded to other data centres.
-    pub away: u64,
+    pub remote: u64,
     /// Requests refused.
     pub refused: u64,
     /// Requests that expired while waiting.
--- a/crates/policy/src/router/mod.rs
+++ b/crates/policy/src/router/mod.rs
@@ -278,8 +278,8 @@
     }
 
     /// Records the first attempt of a request in the retry budget.
-    pub fn note_first(&mut self, kind: KindId) {
-        self.budgets[kind].note_first();
+    pub fn record_first(&mut self, kind: KindId) {
+        self.budgets[kind].record_first();
     }
 
     /// Whether a request of `kind` may be retried; spends a retry if so.
@@ -398,7 +398,7 @@
     ) -> Option<ServerId> {
         let state = &mut self.servers[server];
         if end.outcome == AttemptOutcome::Success {
-            state.note_taken(end.attempt);
+            state.record_taken(end.attempt);
         }
         state.end(end.attempt);
         match end.outcome {
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -145,7 +145,7 @@
 
     /// Records that the server requests a backoff of `time`.
     pub fn record_backoff(&mut self, now: Moment, time: Duration) {
-        self.backoff.ask(now, time);
+        self.backoff.request(now, time);
     }
 
     /// End of the server's backoff, or `None` if it is over.
@@ -154,8 +154,8 @@
     }
 
     /// Records that the server has accepted attempt `id`.
-    pub fn note_taken(&mut self, id: u64) {
-        self.backoff.note_taken(id);
+    pub fn record_taken(&mut self, id: u64) {
+        self.backoff.record_taken(id);
     }
 
     /// How many times slower than expected the server responds; 1 is as expected.
@@ -177,7 +177,7 @@
         if self.circuit.allows(now) {
             self.circuit.start(now);
         }
-        self.backoff.note_sent(id);
+        self.backoff.record_sent(id);
         self.open.push_back(OpenAttempt {
             id,
             started: now,
@@ -188,7 +188,7 @@
     /// Records the end of attempt `id`, whatever its outcome.
     pub fn end(&mut self, id: u64) {
         self.open.retain(|open| open.id != id);
-        self.backoff.note_end(id);
+        self.backoff.record_end(id);
     }
 
     /// Records a success that took `ratio` times the expected time.
@@ -217,7 +217,7 @@
 
     /// Records the end of an attempt whose outcome implies nothing about the server.
     pub fn end_inconclusive(&mut self) {
-        self.circuit.forget();
+        self.circuit.record_unknown();
     }
 
     /// Applies a load report; returns whether the server has restarted.
--- a/crates/policy/src/shutdown.rs
+++ b/crates/policy/src/shutdown.rs
@@ -43,7 +43,7 @@
     }
 
     /// Requests the shutdown; a repeated call has no effect.
-    pub fn ask(&mut self, now: Moment) {
+    pub fn request(&mut self, now: Moment) {
         self.asked_at.get_or_insert(now);
     }
 
@@ -53,7 +53,7 @@
     /// use onyxfall_policy::{Moment, ShutdownPhase, ShutdownPlan};
     /// use std::time::Duration;
     /// let mut plan = ShutdownPlan::new(Duration::from_secs(1), Duration::from_secs(9));
-    /// plan.ask(Moment::ZERO);
+    /// plan.request(Moment::ZERO);
     /// assert_eq!(plan.phase(Moment::ZERO, 0), ShutdownPhase::Grace);
     /// let later = Moment::ZERO + Duration::from_secs(2);
     /// assert_eq!(plan.phase(later, 1), ShutdownPhase::Refusing);
--- a/crates/policy/tests/parts.rs
+++ b/crates/policy/tests/parts.rs
@@ -160,7 +160,7 @@
         circuit.fail(at(0));
     });
     circuit.start(at(600));
-    circuit.forget();
+    circuit.record_unknown();
     assert!(circuit.allows(at(600)));
 }
 
@@ -349,7 +349,7 @@
     for case in cases {
         let mut table = MemberTable::new(beat("a", 1, false), MemberTiming::default());
         for (ms, beat) in &case.beats {
-            table.hear(at(*ms), beat);
+            table.receive(at(*ms), beat);
         }
         table.tick(at(case.tick_ms));
         assert_eq!(
@@ -364,15 +364,15 @@
 #[test]
 fn a_vm_that_receives_a_later_incarnation_of_its_own_adopts_a_later_one() {
     let mut table = MemberTable::new(beat("a", 5, false), MemberTiming::default());
-    assert!(!table.hear(at(0), &beat("a", 5, false)));
-    assert!(table.hear(at(0), &beat("a", 9, false)));
+    assert!(!table.receive(at(0), &beat("a", 5, false)));
+    assert!(table.receive(at(0), &beat("a", 9, false)));
     assert_eq!(table.own().incarnation, Incarnation::new(10));
 }
 
 #[test]
 fn a_duty_moves_when_its_owner_is_unresponsive() {
     let mut table = MemberTable::new(beat("a", 1, false), MemberTiming::default());
-    table.hear(at(0), &beat("b", 1, false));
+    table.receive(at(0), &beat("b", 1, false));
     let duty = (0..50)
         .map(|i| format!("duty {i}"))
         .find(|duty| !table.has_duty(duty))
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -318,7 +318,7 @@
         for input in &inputs {
             replay.apply(input);
         }
-        prop_assert_eq!(replay.router.counts().away, 0);
+        prop_assert_eq!(replay.router.counts().remote, 0);
     }
 
     #[test]
@@ -339,7 +339,7 @@
         let (mut recorded, mut granted) = (0_u32, 0_u32);
         for first in firsts {
             if first {
-                budget.note_first();
+                budget.record_first();
                 recorded += 1;
             } else if budget.try_spend() {
                 granted += 1;
--- a/crates/suspects/src/table.rs
+++ b/crates/suspects/src/table.rs
@@ -186,7 +186,7 @@
 
     /// Changes since `cursor`, the oldest first and limited in number; advances the cursor
     /// past them.
-    pub fn tell(&self, now: Moment, cursor: &mut SuspectCursor) -> SuspectUpdate {
+    pub fn next_update(&self, now: Moment, cursor: &mut SuspectCursor) -> SuspectUpdate {
         if cursor.0 == self.changes {
             return SuspectUpdate::default();
         }
--- a/crates/suspects/tests/verdicts.rs
+++ b/crates/suspects/tests/verdicts.rs
@@ -251,7 +251,7 @@
 fn send_all(now: Moment, from: &SuspectTable, to: &mut SuspectTable) {
     let mut cursor = SuspectCursor::default();
     loop {
-        let update = from.tell(now, &mut cursor);
+        let update = from.next_update(now, &mut cursor);
         if update.is_empty() {
             return;
         }
@@ -293,7 +293,7 @@
         let mut last_round = 0;
         for round in 1..=20 {
             for (from, to) in [(0, 1), (1, 2), (2, 0), (1, 0), (2, 1), (0, 2)] {
-                let update = tables[from].tell(at(now), &mut cursors[from][to]);
+                let update = tables[from].next_update(at(now), &mut cursors[from][to]);
                 if !update.is_empty() {
                     last_round = round;
                 }
@@ -373,9 +373,9 @@
         loop {
             // Each hop takes 60 ms, so that the receiver's time of every crash is 60 ms late.
             let sent = at(100_000 + rounds * 120);
-            let update = first.tell(sent, &mut cursor_second);
+            let update = first.next_update(sent, &mut cursor_second);
             second.take(sent + Duration::from_millis(60), &update);
-            let reply = second.tell(sent + Duration::from_millis(60), &mut cursor_first);
+            let reply = second.next_update(sent + Duration::from_millis(60), &mut cursor_first);
             first.take(sent + Duration::from_millis(120), &reply);
             if update.is_empty() && reply.is_empty() {
                 break;
