--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -53,9 +53,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StubSignals {
     /// Whether every response signals that the server is draining.
-    pub is_leaving: bool,
+    pub is_draining: bool,
     /// If set, the server rejects requests and asks for this backoff.
-    pub rest: Option<RequestedBackoff>,
+    pub backoff: Option<RequestedBackoff>,
     /// Limit in every response, in requests per second, as in the header.
     pub limit: Option<&'static str>,
 }
@@ -279,16 +279,18 @@
     let number = record_arrival(&state, head.extensions.get(), &call);
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
     let mut said = state.lock().signals;
-    said.rest = said.rest.filter(|rest| number.is_multiple_of(rest.every));
-    let mut response = if let Some(rest) = said.rest {
+    said.backoff = said
+        .backoff
+        .filter(|backoff| number.is_multiple_of(backoff.every));
+    let mut response = if let Some(backoff) = said.backoff {
         let mut rejection = whole(StatusCode::SERVICE_UNAVAILABLE, "");
         mark_not_run(rejection.headers_mut());
-        set_retry_after(rejection.headers_mut(), rest.seconds);
+        set_retry_after(rejection.headers_mut(), backoff.seconds);
         rejection
     } else {
         run(Arc::clone(&state), crash, &head, call, body).await?
     };
-    if said.is_leaving {
+    if said.is_draining {
         mark_draining(response.headers_mut());
     }
     if let Some(limit) = said.limit {
--- a/crates/fleet/benches/choice.rs
+++ b/crates/fleet/benches/choice.rs
@@ -38,7 +38,7 @@
         let name = format!("s{server}");
         let record = ServerRecord {
             name: name.parse().unwrap(),
-            born: StartTime::UNKNOWN,
+            started_at: StartTime::UNKNOWN,
             service: "svc".parse().unwrap(),
             version: None,
             address: SocketAddr::from(([127, 0, 0, 1], 1)),
@@ -51,7 +51,7 @@
         let id = view.find(&name).unwrap();
         let one = WorkShare {
             requests: 2,
-            unread: PrefillTokens::of(5, 900 * (server as u64 % 7)),
+            prefill: PrefillTokens::of(5, 900 * (server as u64 % 7)),
             memory: 20_000,
             flow: 2000,
             ..WorkShare::default()
--- a/crates/fleet/src/instance.rs
+++ b/crates/fleet/src/instance.rs
@@ -66,10 +66,10 @@
 /// use onyxfall_fleet::{StartTime, ServerInstance};
 /// let instance = ServerInstance {
 ///     name: "s1".parse().unwrap(),
-///     born: StartTime::from_millis(5),
+///     started_at: StartTime::from_millis(5),
 /// };
 /// assert_eq!(instance.to_string(), "s1@5");
-/// let without_start_time = ServerInstance { born: StartTime::UNKNOWN, ..instance };
+/// let without_start_time = ServerInstance { started_at: StartTime::UNKNOWN, ..instance };
 /// assert_eq!(without_start_time.to_string(), "s1");
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -77,7 +77,7 @@
     /// Name of the server.
     pub name: ServerName,
     /// Start time of the instance.
-    pub born: StartTime,
+    pub started_at: StartTime,
 }
 
 impl ServerInstance {
@@ -89,9 +89,9 @@
 
 impl fmt::Display for ServerInstance {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if self.born == StartTime::UNKNOWN {
+        if self.started_at == StartTime::UNKNOWN {
             return fmt::Display::fmt(&self.name, f);
         }
-        write!(f, "{}{START_TIME_SEPARATOR}{}", self.name, self.born)
+        write!(f, "{}{START_TIME_SEPARATOR}{}", self.name, self.started_at)
     }
 }
--- a/crates/fleet/src/learn/engine.rs
+++ b/crates/fleet/src/learn/engine.rs
@@ -26,8 +26,8 @@
 /// Prior weights of the interval between two events in milliseconds: fixed part; per ten
 /// running requests; per thousand tokens that are being prefilled when the response begins,
 /// spread over the whole response.
-const PACE_PRIOR: [f64; 3] = [40.0, 8.0, 5.0];
-const PACE_BOUNDS: [(f64, f64); 3] = [(0.0, 1e4), (0.0, 1e4), (0.0, 1e3)];
+const EVENT_INTERVAL_PRIOR: [f64; 3] = [40.0, 8.0, 5.0];
+const EVENT_INTERVAL_BOUNDS: [(f64, f64); 3] = [(0.0, 1e4), (0.0, 1e4), (0.0, 1e3)];
 
 /// Load of a model server when a request arrives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -68,7 +68,7 @@
     }
 
     /// Model input of the interval between events, for a response with `gaps` intervals.
-    fn pace_input(&self, gaps: f64) -> [f64; 3] {
+    fn event_interval_input(&self, gaps: f64) -> [f64; 3] {
         let prefill = self
             .own
             .saturating_add(self.ahead)
@@ -85,14 +85,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineCosts {
     pub(crate) first: LinearFit<5>,
-    pub(crate) pace: LinearFit<3>,
+    pub(crate) event_interval: LinearFit<3>,
 }
 
 impl Default for EngineCosts {
     fn default() -> Self {
         Self {
             first: LinearFit::new(FIRST_PRIOR, FIRST_BOUNDS),
-            pace: LinearFit::new(PACE_PRIOR, PACE_BOUNDS),
+            event_interval: LinearFit::new(EVENT_INTERVAL_PRIOR, EVENT_INTERVAL_BOUNDS),
         }
     }
 }
@@ -106,7 +106,8 @@
     /// Expected interval between two events in milliseconds, for a response with `gaps`
     /// intervals.
     pub fn pace_ms(&self, load: &EngineLoad, gaps: f64) -> f64 {
-        self.pace.predict(&load.pace_input(gaps))
+        self.event_interval
+            .predict(&load.event_interval_input(gaps))
     }
 
     /// Expected time to prefill `tokens` of a prompt in milliseconds.
@@ -125,14 +126,18 @@
     /// `gaps` intervals.
     pub fn learn_rest(&mut self, load: &EngineLoad, took: Duration, gaps: f64, uncertainty: f64) {
         let ms = took.as_secs_f64() * 1e3 / gaps.max(1.0);
-        self.pace.learn(&load.pace_input(gaps), ms, uncertainty);
+        self.event_interval
+            .learn(&load.event_interval_input(gaps), ms, uncertainty);
     }
 
     /// Creates a cost model from weights that were learned elsewhere, clamped to their bounds.
-    pub(crate) fn with_weights(first: &[f64; 5], pace: &[f64; 3]) -> Self {
+    pub(crate) fn with_weights(first: &[f64; 5], event_interval: &[f64; 3]) -> Self {
         Self {
             first: LinearFit::new(bound_first(first), FIRST_BOUNDS),
-            pace: LinearFit::new(bound_pace(pace), PACE_BOUNDS),
+            event_interval: LinearFit::new(
+                bound_event_interval(event_interval),
+                EVENT_INTERVAL_BOUNDS,
+            ),
         }
     }
 }
@@ -143,8 +148,8 @@
 }
 
 /// Clamps weights of the interval between events to their bounds.
-pub(crate) fn bound_pace(weights: &[f64; 3]) -> [f64; 3] {
-    bounded(weights, &PACE_BOUNDS)
+pub(crate) fn bound_event_interval(weights: &[f64; 3]) -> [f64; 3] {
+    bounded(weights, &EVENT_INTERVAL_BOUNDS)
 }
 
 /// Clamps weights to their bounds; NaN becomes the lower bound.
--- a/crates/fleet/src/learn/service.rs
+++ b/crates/fleet/src/learn/service.rs
@@ -6,7 +6,7 @@
 use onyxfall_policy::Moment;
 use onyxfall_types::VmName;
 
-use super::engine::{EngineCosts, EngineLoad, bound_first, bound_pace};
+use super::engine::{EngineCosts, EngineLoad, bound_event_interval, bound_first};
 use super::plain::{PlainCosts, bound_plain};
 
 /// Most responses of one VM that count, so that a VM with many responses does not outweigh
@@ -48,9 +48,9 @@
     /// Responses behind `first`.
     pub first_samples: u32,
     /// Weights of the interval between events.
-    pub pace: [f64; 3],
-    /// Responses behind `pace`.
-    pub pace_samples: u32,
+    pub event_interval: [f64; 3],
+    /// Responses behind `event_interval`.
+    pub interval_samples: u32,
     /// Time of a request to a plain service in milliseconds.
     pub plain_ms: f64,
     /// Responses behind `plain_ms`.
@@ -62,7 +62,7 @@
     fn bounded(self) -> Self {
         Self {
             first: bound_first(&self.first),
-            pace: bound_pace(&self.pace),
+            event_interval: bound_event_interval(&self.event_interval),
             plain_ms: bound_plain(self.plain_ms),
             vms: self.vms.clamp(1, MAX_VMS),
             ..self
@@ -80,7 +80,7 @@
 struct RemoteCosts {
     engine: EngineCosts,
     first_samples: f64,
-    pace_samples: f64,
+    interval_samples: f64,
     plain: PlainCosts,
     plain_samples: f64,
 }
@@ -90,8 +90,8 @@
 struct CostSums {
     first: [f64; 5],
     first_samples: f64,
-    pace: [f64; 3],
-    pace_samples: f64,
+    event_interval: [f64; 3],
+    interval_samples: f64,
     plain: f64,
     plain_samples: f64,
     vms: u32,
@@ -101,13 +101,17 @@
     /// Adds a report.
     fn add(mut self, report: &CostReport) -> Self {
         let first = report.weight(report.first_samples);
-        let pace = report.weight(report.pace_samples);
+        let event_interval = report.weight(report.interval_samples);
         let plain = report.weight(report.plain_samples);
         add(&mut self.first, &report.first, first);
-        add(&mut self.pace, &report.pace, pace);
+        add(
+            &mut self.event_interval,
+            &report.event_interval,
+            event_interval,
+        );
         self.plain += report.plain_ms * plain;
         self.first_samples += first;
-        self.pace_samples += pace;
+        self.interval_samples += event_interval;
         self.plain_samples += plain;
         self.vms = self.vms.saturating_add(report.vms.max(1));
         self
@@ -120,8 +124,10 @@
             vms: self.vms,
             first: self.first.map(|sum| sum / self.first_samples.max(1.0)),
             first_samples: self.first_samples as u32,
-            pace: self.pace.map(|sum| sum / self.pace_samples.max(1.0)),
-            pace_samples: self.pace_samples as u32,
+            event_interval: self
+                .event_interval
+                .map(|sum| sum / self.interval_samples.max(1.0)),
+            interval_samples: self.interval_samples as u32,
             plain_ms: self.plain / self.plain_samples.max(1.0),
             plain_samples: self.plain_samples as u32,
         }
@@ -162,8 +168,8 @@
     /// Expected interval between two events in milliseconds, for a response with `gaps`
     /// intervals; `None` before any interval was observed.
     pub fn pace_ms(&self, load: &EngineLoad, gaps: f64) -> Option<f64> {
-        let own = self.engine.pace.samples();
-        if own == 0 && self.remote.pace_samples == 0.0 {
+        let own = self.engine.event_interval.samples();
+        if own == 0 && self.remote.interval_samples == 0.0 {
             return None;
         }
         let remote = self.remote.engine.pace_ms(load, gaps);
@@ -171,7 +177,7 @@
             self.engine.pace_ms(load, gaps),
             own,
             remote,
-            self.remote.pace_samples,
+            self.remote.interval_samples,
         ))
     }
 
@@ -211,8 +217,8 @@
             vms: 1,
             first: *self.engine.first.weights(),
             first_samples: self.engine.first.samples(),
-            pace: *self.engine.pace.weights(),
-            pace_samples: self.engine.pace.samples(),
+            event_interval: *self.engine.event_interval.weights(),
+            interval_samples: self.engine.event_interval.samples(),
             plain_ms: self.plain.service_ms(),
             plain_samples: self.plain.samples(),
         };
@@ -230,8 +236,8 @@
         if report.first_samples == 0 {
             report.first = own.first;
         }
-        if report.pace_samples == 0 {
-            report.pace = own.pace;
+        if report.interval_samples == 0 {
+            report.event_interval = own.event_interval;
         }
         if report.plain_samples == 0 {
             report.plain_ms = own.plain_ms;
@@ -281,9 +287,9 @@
     let sums = reports.fold(CostSums::default(), CostSums::add);
     let mean = sums.mean();
     RemoteCosts {
-        engine: EngineCosts::with_weights(&mean.first, &mean.pace),
+        engine: EngineCosts::with_weights(&mean.first, &mean.event_interval),
         first_samples: sums.first_samples,
-        pace_samples: sums.pace_samples,
+        interval_samples: sums.interval_samples,
         plain: PlainCosts::with_time(mean.plain_ms),
         plain_samples: sums.plain_samples,
     }
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -26,7 +26,7 @@
     /// Name of the server.
     pub name: ServerName,
     /// Start time of the instance.
-    pub born: StartTime,
+    pub started_at: StartTime,
     /// Service that the server belongs to.
     pub service: ServiceName,
     /// Version of its software, if reported.
@@ -49,7 +49,7 @@
     pub fn instance(&self) -> ServerInstance {
         ServerInstance {
             name: self.name.clone(),
-            born: self.born,
+            started_at: self.started_at,
         }
     }
 
--- a/crates/fleet/src/remote.rs
+++ b/crates/fleet/src/remote.rs
@@ -63,7 +63,7 @@
     /// Number of servers that accept requests.
     pub usable: u32,
     /// Expected time between two events of a response.
-    pub pace: Duration,
+    pub event_interval: Duration,
     /// Spare capacity of a plain service, in thousandths of a request per second.
     pub spare: u32,
 }
@@ -349,7 +349,7 @@
         let remote_time = (load.wait + sent + added_work).mul_f64(correction);
         let first = search.trips.to(region) + remote_time;
         let gaps = (search.needs.events.unwrap_or(1.0) - 1.0).max(0.0);
-        let whole = first + load.pace.mul_f64(gaps.min(MAX_GAPS));
+        let whole = first + load.event_interval.mul_f64(gaps.min(MAX_GAPS));
         Some(RemoteOption {
             region: region.clone(),
             holds_prefix,
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -258,10 +258,10 @@
 
     /// Applies signals that may be those of a former instance.
     pub(crate) fn apply_ambiguous(&mut self, now: Moment, signals: &AmbiguousSignals) {
-        if signals.leaves {
+        if signals.drains {
             self.backoff.request(now, AMBIGUOUS_DRAINING);
         }
-        if let Some(backoff) = signals.rest {
+        if let Some(backoff) = signals.backoff {
             self.backoff.join(backoff);
         }
     }
@@ -373,11 +373,11 @@
             let waiting = (f64::from(work.requests) + 1.0 - slots).max(0.0);
             return ServerLoad::Plain(1.0 + waiting / slots);
         }
-        let ahead = work.unread.up_to(needs.urgency);
+        let ahead = work.prefill.up_to(needs.urgency);
         ServerLoad::Engine(EngineLoad {
             own: self.prefill_tokens(now, &needs.prompt),
             ahead,
-            behind: work.unread.total() - ahead,
+            behind: work.prefill.total() - ahead,
             running: work.requests,
         })
     }
@@ -436,10 +436,10 @@
         predicted: Duration,
     ) {
         let load = self.load(now, needs);
-        let unread = self.prefill_tokens(now, &needs.prompt);
+        let prefill = self.prefill_tokens(now, &needs.prompt);
         let work = WorkShare {
             requests: 1,
-            unread: PrefillTokens::of(needs.urgency, unread),
+            prefill: PrefillTokens::of(needs.urgency, prefill),
             memory: needs.prompt.memory(),
             ..WorkShare::default()
         };
@@ -449,7 +449,7 @@
         self.backoff.record_sent(id);
         self.limit.record_sent(now);
         self.own = self.own.plus(work);
-        let added_tokens = unread + needs.prompt.likely_output();
+        let added_tokens = prefill + needs.prompt.likely_output();
         self.flow.note(now, added_tokens);
         self.cached_prefixes.bring(added_tokens);
         if let Some(engine) = needs.engine {
@@ -477,7 +477,7 @@
         self.backoff.record_taken(id);
         self.liveness.record_liveness(now);
         let prefilled = WorkShare {
-            unread: open.work.unread,
+            prefill: open.work.prefill,
             ..WorkShare::default()
         };
         self.own = self.own.without(prefilled);
--- a/crates/fleet/src/signals.rs
+++ b/crates/fleet/src/signals.rs
@@ -35,9 +35,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AmbiguousSignals {
     /// Whether the server may be draining.
-    pub(crate) leaves: bool,
+    pub(crate) drains: bool,
     /// The backoff that the server may have asked for.
-    pub(crate) rest: Option<ServerBackoff>,
+    pub(crate) backoff: Option<ServerBackoff>,
 }
 
 /// Backoff request in the response of a server that rejected a request.
@@ -56,9 +56,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerSignals {
     /// Whether the server is draining.
-    pub is_leaving: bool,
+    pub is_draining: bool,
     /// The backoff that the server asks for.
-    pub rest: BackoffSignal,
+    pub backoff: BackoffSignal,
     /// The request rate that the server accepts.
     pub limit: LimitSignal,
 }
@@ -67,9 +67,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SignalChanges {
     /// The server is newly known to be draining.
-    pub leaves: bool,
+    pub drains: bool,
     /// Backoff has started or has been extended.
-    pub rests: bool,
+    pub backs_off: bool,
 }
 
 impl FleetView {
@@ -100,8 +100,8 @@
     /// # };
     /// # fleet.put_server(Moment::ZERO, record, None);
     /// let server = fleet.find("s1").unwrap();
-    /// let signals = ServerSignals { is_leaving: true, ..ServerSignals::default() };
-    /// assert!(fleet.apply_signals(Moment::ZERO, server, &signals).leaves);
+    /// let signals = ServerSignals { is_draining: true, ..ServerSignals::default() };
+    /// assert!(fleet.apply_signals(Moment::ZERO, server, &signals).drains);
     /// assert!(!fleet.server(server).takes_work());
     /// assert_eq!(fleet.apply_signals(Moment::ZERO, server, &signals), SignalChanges::default());
     /// ```
@@ -113,13 +113,13 @@
     ) -> SignalChanges {
         let id = self.same_instance(id);
         let server = self.server_mut(id);
-        let leaves = signals.is_leaving && server.record_draining(now);
-        let rests = match signals.rest {
+        let drains = signals.is_draining && server.record_draining(now);
+        let backs_off = match signals.backoff {
             BackoffSignal::For(time) => server.record_backoff(now, time),
             BackoffSignal::None | BackoffSignal::Malformed => false,
         };
         self.mark_later_instance_ambiguous(now, id);
-        SignalChanges { leaves, rests }
+        SignalChanges { drains, backs_off }
     }
 
     /// Applies signals recorded for a former instance to the later one, if they may be its.
@@ -128,20 +128,24 @@
         let Some(later) = self.find(name.as_str()).filter(|id| *id != former) else {
             return;
         };
-        let signals = self.ambiguous_signals(former, self.server(later).record.born);
+        let signals = self.ambiguous_signals(former, self.server(later).record.started_at);
         self.server_mut(later).apply_ambiguous(now, &signals);
     }
 
     /// Signals recorded for a former instance that may be those of the instance that started
-    /// at `born`.
-    pub(crate) fn ambiguous_signals(&self, former: ServerId, born: StartTime) -> AmbiguousSignals {
-        let born = self.moment_of(born);
+    /// at `started_at`.
+    pub(crate) fn ambiguous_signals(
+        &self,
+        former: ServerId,
+        started_at: StartTime,
+    ) -> AmbiguousSignals {
+        let started_at = self.moment_of(started_at);
         let former = self.server(former);
         let is_ambiguous =
-            |read: Option<Moment>| read.is_some_and(|at| born <= at + CLOCK_TOLERANCE);
+            |read: Option<Moment>| read.is_some_and(|at| started_at <= at + CLOCK_TOLERANCE);
         AmbiguousSignals {
-            leaves: is_ambiguous(former.leaving_since()),
-            rest: former.requested_backoff(is_ambiguous),
+            drains: is_ambiguous(former.leaving_since()),
+            backoff: former.requested_backoff(is_ambiguous),
         }
     }
 
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -65,7 +65,7 @@
 /// Latest server instance seen under a name.
 #[derive(Clone, Copy, Debug)]
 struct LatestInstance {
-    born: StartTime,
+    started_at: StartTime,
     /// Id of the latest instance that was in the working set.
     last_working: Option<ServerId>,
 }
@@ -151,9 +151,9 @@
     }
 
     /// Converts a start time to a moment of this VM's clock; zero if it is earlier.
-    pub(crate) fn moment_of(&self, born: StartTime) -> Moment {
-        let born = Duration::from_millis(born.millis());
-        Moment::from_duration(born.saturating_sub(self.unix_start))
+    pub(crate) fn moment_of(&self, started_at: StartTime) -> Moment {
+        let started_at = Duration::from_millis(started_at.millis());
+        Moment::from_duration(started_at.saturating_sub(self.unix_start))
     }
 
     /// Identity and location of this VM.
@@ -384,7 +384,7 @@
             return;
         };
         let latest = self.latest.get(&record.name).copied();
-        if latest.is_some_and(|latest| latest.born > record.born) {
+        if latest.is_some_and(|latest| latest.started_at > record.started_at) {
             return;
         }
         if self.update_known_server(now, &record, &region) {
@@ -434,7 +434,7 @@
             Some(PoolServer::Dormant(dormant)) => &mut dormant.record,
             None => return false,
         };
-        if current.born != record.born || !is_same_pool {
+        if current.started_at != record.started_at || !is_same_pool {
             self.remove_server(now, record.name.as_str());
             if let Some(id) = last_working {
                 self.servers[id].replace();
@@ -487,7 +487,7 @@
         } = (**dormant).clone();
         let region = self.pools.get(pool).key.region.clone();
         let cold_rate = self.pools.get(pool).cold_rate;
-        let (name, born) = (record.name.clone(), record.born);
+        let (name, started_at) = (record.name.clone(), record.started_at);
         let cold_until = self.cold_until.get(&record.center).copied();
         let mut state = ServerState::new(received_at, record, region, cold_rate);
         if let Some(until) = cold_until {
@@ -498,10 +498,12 @@
             .get(&name)
             .and_then(|latest| latest.last_working);
         match last_working {
-            Some(prior) if self.servers[prior].record.born == born => {
+            Some(prior) if self.servers[prior].record.started_at == started_at => {
                 state.inherit_signals(&self.servers[prior]);
             }
-            Some(prior) => state.apply_ambiguous(received_at, &self.ambiguous_signals(prior, born)),
+            Some(prior) => {
+                state.apply_ambiguous(received_at, &self.ambiguous_signals(prior, started_at))
+            }
             None => {}
         }
         let id = self.servers.push(state);
@@ -600,7 +602,9 @@
         let latest = self.latest.get(&record.name);
         let last_working = latest.and_then(|latest| latest.last_working);
         last_working
-            .filter(|last_working| self.server(*last_working).record.born == record.born)
+            .filter(|last_working| {
+                self.server(*last_working).record.started_at == record.started_at
+            })
             .unwrap_or(id)
     }
 
@@ -613,12 +617,12 @@
             self.prune_len = START_TIMES_PRUNE_LEN.max(self.latest.len() * 2);
         }
         let latest = self.latest.entry(record.name.clone());
-        let born = record.born;
+        let started_at = record.started_at;
         let latest = latest.or_insert(LatestInstance {
-            born,
+            started_at,
             last_working: None,
         });
-        latest.born = born;
+        latest.started_at = started_at;
     }
 
     /// Records that a server's entry was removed, or that another instance responded.
--- a/crates/fleet/src/work.rs
+++ b/crates/fleet/src/work.rs
@@ -67,7 +67,7 @@
     /// Requests in progress.
     pub requests: u32,
     /// Prompt tokens that are not known to be prefilled yet.
-    pub unread: PrefillTokens,
+    pub prefill: PrefillTokens,
     /// Memory that the requests will occupy, in tokens.
     pub memory: u64,
     /// Tokens a second that are added to the server's memory.
@@ -85,7 +85,7 @@
     pub fn plus(self, other: Self) -> Self {
         Self {
             requests: self.requests.saturating_add(other.requests),
-            unread: self.unread.combine(other.unread, u64::saturating_add),
+            prefill: self.prefill.combine(other.prefill, u64::saturating_add),
             memory: self.memory.saturating_add(other.memory),
             flow: self.flow.saturating_add(other.flow),
             votes: self.votes.plus(other.votes),
@@ -98,7 +98,7 @@
     pub fn without(self, other: Self) -> Self {
         Self {
             requests: self.requests.saturating_sub(other.requests),
-            unread: self.unread.combine(other.unread, u64::saturating_sub),
+            prefill: self.prefill.combine(other.prefill, u64::saturating_sub),
             memory: self.memory.saturating_sub(other.memory),
             flow: self.flow.saturating_sub(other.flow),
             votes: self.votes.without(other.votes),
--- a/crates/fleet/tests/affinity.rs
+++ b/crates/fleet/tests/affinity.rs
@@ -102,7 +102,7 @@
 struct BusyCase {
     name: &'static str,
     /// Tokens pending prefill that other VMs report for the part's owner.
-    unread: u64,
+    prefill: u64,
     is_owner_used: bool,
 }
 
@@ -111,17 +111,17 @@
     let cases = [
         BusyCase {
             name: "idle",
-            unread: 0,
+            prefill: 0,
             is_owner_used: true,
         },
         BusyCase {
             name: "slightly busier than the others",
-            unread: 1500,
+            prefill: 1500,
             is_owner_used: true,
         },
         BusyCase {
             name: "busier than a repeated prefill costs",
-            unread: 60_000,
+            prefill: 60_000,
             is_owner_used: false,
         },
     ];
@@ -131,8 +131,8 @@
         let owner = choose(&mut view, 0, &needs, &mut rng);
         let work = WorkShare {
             requests: 1,
-            unread: PrefillTokens::of(3, case.unread),
-            memory: case.unread,
+            prefill: PrefillTokens::of(3, case.prefill),
+            memory: case.prefill,
             ..WorkShare::default()
         };
         view.server_mut(owner).set_others(at(10), work);
--- a/crates/fleet/tests/backup.rs
+++ b/crates/fleet/tests/backup.rs
@@ -177,7 +177,7 @@
     for name in ["s3", "s4"] {
         let full = WorkShare {
             requests: 8,
-            unread: PrefillTokens::default(),
+            prefill: PrefillTokens::default(),
             memory: 0,
             flow: 0,
             ..WorkShare::default()
--- a/crates/fleet/tests/choice.rs
+++ b/crates/fleet/tests/choice.rs
@@ -174,7 +174,7 @@
     }
     let busy = WorkShare {
         requests: 1,
-        unread: PrefillTokens::of(5, 60_000),
+        prefill: PrefillTokens::of(5, 60_000),
         ..WorkShare::default()
     };
     view.server_mut(owner).set_others(at(0), busy);
@@ -211,7 +211,7 @@
         view.server(id).own_work(at(0)),
         WorkShare {
             requests: 1,
-            unread: PrefillTokens::of(5, 1000),
+            prefill: PrefillTokens::of(5, 1000),
             memory: 1100,
             flow,
             ..WorkShare::default()
@@ -219,7 +219,7 @@
     );
     view.record_response(at(5), id, 1);
     let own = view.server(id).own_work(at(5));
-    assert_eq!(own.unread.total(), 0, "the prompt is prefilled");
+    assert_eq!(own.prefill.total(), 0, "the prompt is prefilled");
     view.end_attempt(at(9), id, 1, AttemptResult::Succeeded, None);
     let own = view.server(id).own_work(at(600_000));
     assert_eq!(own, WorkShare::default());
@@ -284,7 +284,7 @@
         let load = ServiceLoad {
             wait: Duration::from_millis(case.load.0),
             usable: case.load.1,
-            pace: Duration::ZERO,
+            event_interval: Duration::ZERO,
             backlog: Duration::ZERO,
             spare: 0,
         };
@@ -319,7 +319,7 @@
     let load = ServiceLoad {
         wait: Duration::from_millis(30),
         usable: 2,
-        pace: Duration::ZERO,
+        event_interval: Duration::ZERO,
         backlog: Duration::ZERO,
         spare: 0,
     };
@@ -512,7 +512,7 @@
     let owner = chosen(&mut view, &needs(5000, 5600));
     let busy = WorkShare {
         requests: 1,
-        unread: PrefillTokens::of(5, 10_000),
+        prefill: PrefillTokens::of(5, 10_000),
         ..WorkShare::default()
     };
     view.server_mut(owner).set_others(at(0), busy);
@@ -547,7 +547,7 @@
     let now = at(1_000_000);
     let prefilling = WorkShare {
         requests: 3,
-        unread: PrefillTokens::of(9, 15_000),
+        prefill: PrefillTokens::of(9, 15_000),
         ..WorkShare::default()
     };
     let mut long = needs(0, 100);
--- a/crates/fleet/tests/fleets.rs
+++ b/crates/fleet/tests/fleets.rs
@@ -41,10 +41,10 @@
         for change in changes {
             match change {
                 MirrorChange::Set(name, value) => {
-                    let born: u64 = std::str::from_utf8(&value).unwrap().parse().unwrap();
+                    let started_at: u64 = std::str::from_utf8(&value).unwrap().parse().unwrap();
                     let seen = self.seen.entry(name.clone()).or_default();
-                    *seen = born.max(*seen);
-                    self.fleet.put_server(NOW, record(&name, born), None);
+                    *seen = started_at.max(*seen);
+                    self.fleet.put_server(NOW, record(&name, started_at), None);
                 }
                 MirrorChange::Removed(name) => self.fleet.remove_server(NOW, &name),
             }
@@ -68,15 +68,15 @@
         usable
             .map(|(_, server)| {
                 let record = &server.record;
-                (record.name.to_string(), record.born.millis())
+                (record.name.to_string(), record.started_at.millis())
             })
             .collect()
     }
 }
 
-fn record(name: &str, born: u64) -> ServerRecord {
+fn record(name: &str, started_at: u64) -> ServerRecord {
     ServerRecord {
-        born: StartTime::from_millis(born),
+        started_at: StartTime::from_millis(started_at),
         ..ready_server(name)
     }
 }
@@ -93,10 +93,10 @@
         self.history.len() as u64
     }
 
-    fn write(&mut self, name: &str, born: u64) {
+    fn write(&mut self, name: &str, started_at: u64) {
         let item = StoreItem {
             key: name.to_owned(),
-            value: born.to_string().into_bytes().into(),
+            value: started_at.to_string().into_bytes().into(),
             revision: self.revision() + 1,
         };
         self.items.insert(name.to_owned(), item.clone());
@@ -179,14 +179,14 @@
                 }
             }
             for vm in &vms {
-                for (name, born) in vm.usable() {
-                    prop_assert!(born >= vm.seen[&name], "{name} has restarted since");
+                for (name, started_at) in vm.usable() {
+                    prop_assert!(started_at >= vm.seen[&name], "{name} has restarted since");
                 }
             }
         }
         let expected: BTreeMap<String, u64> = store.items.iter().map(|(name, item)| {
-            let born = std::str::from_utf8(&item.value).unwrap().parse().unwrap();
-            (name.clone(), born)
+            let started_at = std::str::from_utf8(&item.value).unwrap().parse().unwrap();
+            (name.clone(), started_at)
         }).collect();
         for vm in &mut vms {
             let items = store.items.values().cloned().collect();
--- a/crates/fleet/tests/instances.rs
+++ b/crates/fleet/tests/instances.rs
@@ -16,17 +16,17 @@
     FleetView::new(place("vm1", &[("c0", "r0")]))
 }
 
-fn record(name: &str, born: u64, phase: ServerPhase) -> ServerRecord {
+fn record(name: &str, started_at: u64, phase: ServerPhase) -> ServerRecord {
     ServerRecord {
-        born: StartTime::from_millis(born),
+        started_at: StartTime::from_millis(started_at),
         phase,
         cold_left: Duration::from_secs(5),
         ..ready_server(name)
     }
 }
 
-fn ready(name: &str, born: u64) -> ServerRecord {
-    record(name, born, ServerPhase::Ready)
+fn ready(name: &str, started_at: u64) -> ServerRecord {
+    record(name, started_at, ServerPhase::Ready)
 }
 
 #[test]
@@ -125,17 +125,17 @@
         let mut fleet = view();
         for step in case.steps {
             match *step {
-                Put(name, born) => fleet.put_server(at(0), ready(name, born), None),
-                Drain(name, born) => {
+                Put(name, started_at) => fleet.put_server(at(0), ready(name, started_at), None),
+                Drain(name, started_at) => {
                     let phase = ServerPhase::Draining { left: None };
-                    fleet.put_server(at(0), record(name, born, phase), None);
+                    fleet.put_server(at(0), record(name, started_at, phase), None);
                 }
                 Remove(name) => fleet.remove_server(at(0), name),
             }
         }
         let known = fleet.find("s1").map(|id| {
             let server = fleet.server(id);
-            (server.record.born.millis(), server.takes_work())
+            (server.record.started_at.millis(), server.takes_work())
         });
         assert_eq!(known, case.known, "{}", case.name);
     }
@@ -153,22 +153,22 @@
     ) {
         let mut fleet = view();
         let mut latest: BTreeMap<&str, u64> = BTreeMap::new();
-        for (name, born) in &starts {
+        for (name, started_at) in &starts {
             let newest = latest.entry(NAMES[*name]).or_default();
-            *newest = (*newest).max(*born);
+            *newest = (*newest).max(*started_at);
         }
         let some = order.iter().filter_map(|index| starts.get(*index));
-        let rest = latest.iter().map(|(name, born)| (*name, *born));
-        let all = some.map(|(name, born)| (NAMES[*name], *born)).chain(rest);
-        for (index, (name, born)) in all.enumerate() {
-            fleet.put_server(at(index as u64), ready(name, born), None);
+        let rest = latest.iter().map(|(name, started_at)| (*name, *started_at));
+        let all = some.map(|(name, started_at)| (NAMES[*name], *started_at)).chain(rest);
+        for (index, (name, started_at)) in all.enumerate() {
+            fleet.put_server(at(index as u64), ready(name, started_at), None);
             let id = fleet.find(name).unwrap();
             prop_assert!(!fleet.server(id).is_gone());
         }
         prop_assert_eq!(fleet.live().count(), latest.len());
-        for (name, born) in latest {
+        for (name, started_at) in latest {
             let id = fleet.find(name).unwrap();
-            prop_assert_eq!(fleet.server(id).record.born.millis(), born);
+            prop_assert_eq!(fleet.server(id).record.started_at.millis(), started_at);
             prop_assert_eq!(fleet.find_instance(fleet.server(id).instance_hash()), Some(id));
         }
     }
--- a/crates/fleet/tests/learn.rs
+++ b/crates/fleet/tests/learn.rs
@@ -281,8 +281,8 @@
         vms: 1,
         first: [40.0, 20.0, 12.0, 5.0, 4.0],
         first_samples: 100,
-        pace: [40.0, 8.0, 8.0],
-        pace_samples: 100,
+        event_interval: [40.0, 8.0, 8.0],
+        interval_samples: 100,
         plain_ms: 20.0,
         plain_samples: 100,
     };
@@ -303,7 +303,7 @@
         ReportCase {
             name: "negative",
             report: CostReport {
-                pace: [-1.0, 8.0, 8.0],
+                event_interval: [-1.0, 8.0, 8.0],
                 ..usual
             },
             is_out_of_bounds: true,
--- a/crates/fleet/tests/signals.rs
+++ b/crates/fleet/tests/signals.rs
@@ -23,9 +23,9 @@
     FleetView::new(place("vm1", &[("c0", "r0")]))
 }
 
-fn record(name: &str, born: u64) -> ServerRecord {
+fn record(name: &str, started_at: u64) -> ServerRecord {
     ServerRecord {
-        born: StartTime::from_millis(born),
+        started_at: StartTime::from_millis(started_at),
         ..ready_server(name)
     }
 }
@@ -45,14 +45,14 @@
 
 fn draining() -> ServerSignals {
     ServerSignals {
-        is_leaving: true,
+        is_draining: true,
         ..ServerSignals::default()
     }
 }
 
 fn backoff(millis: u64) -> ServerSignals {
     ServerSignals {
-        rest: BackoffSignal::For(Duration::from_millis(millis)),
+        backoff: BackoffSignal::For(Duration::from_millis(millis)),
         ..ServerSignals::default()
     }
 }
@@ -154,7 +154,7 @@
         let mut sent: Option<ServerId> = None;
         for step in case.steps {
             match *step {
-                Put(born) => fleet.put_server(at(0), record("s", born), None),
+                Put(started_at) => fleet.put_server(at(0), record("s", started_at), None),
                 Remove => fleet.remove_server(at(0), "s"),
                 Sent => sent = fleet.find("s"),
                 Drain => {
@@ -187,7 +187,7 @@
         name: &'static str,
         signals: ServerSignals,
         read: u64,
-        born: u64,
+        started_at: u64,
         known: u64,
         may_send: &'static [(u64, bool)],
     }
@@ -196,7 +196,7 @@
             name: "started before the signal",
             signals: draining(),
             read: 10_000,
-            born: 9_000,
+            started_at: 9_000,
             known: 10_500,
             may_send: &[(10_500, false), (30_499, false), (30_500, true)],
         },
@@ -204,7 +204,7 @@
             name: "started long after the signal",
             signals: draining(),
             read: 10_000,
-            born: 14_000,
+            started_at: 14_000,
             known: 14_500,
             may_send: &[(14_500, true)],
         },
@@ -212,7 +212,7 @@
             name: "backoff requested after the start",
             signals: backoff(3000),
             read: 10_000,
-            born: 9_000,
+            started_at: 9_000,
             known: 10_500,
             may_send: &[(10_500, false), (12_999, false), (13_000, true)],
         },
@@ -220,7 +220,7 @@
             name: "backoff requested before the start",
             signals: backoff(30_000),
             read: 10_000,
-            born: 14_000,
+            started_at: 14_000,
             known: 14_500,
             may_send: &[(14_500, true)],
         },
@@ -230,7 +230,7 @@
         fleet.put_server(at(0), record("s", 5), None);
         let former = fleet.find("s").unwrap();
         fleet.apply_signals(at(case.read), former, &case.signals);
-        fleet.put_server(at(case.known), record("s", case.born), None);
+        fleet.put_server(at(case.known), record("s", case.started_at), None);
         let later = fleet.find("s").unwrap();
         for (millis, expected) in case.may_send {
             let may_send = fleet.may_send(at(*millis), later);
@@ -244,7 +244,7 @@
     let mut fleet = view();
     fleet.put_server(at(0), record("s", 5), None);
     let id = fleet.find("s").unwrap();
-    let changes = |leaves, rests| SignalChanges { leaves, rests };
+    let changes = |drains, backs_off| SignalChanges { drains, backs_off };
     assert_eq!(
         fleet.apply_signals(at(0), id, &draining()),
         changes(true, false)
@@ -266,7 +266,7 @@
         changes(false, true)
     );
     let malformed = ServerSignals {
-        rest: BackoffSignal::Malformed,
+        backoff: BackoffSignal::Malformed,
         ..ServerSignals::default()
     };
     assert_eq!(
@@ -342,7 +342,7 @@
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        (0..2usize, 1..5u64).prop_map(|(name, born)| Event::Put(name, born * 10_000)),
+        (0..2usize, 1..5u64).prop_map(|(name, started_at)| Event::Put(name, started_at * 10_000)),
         (0..2usize).prop_map(Event::Remove),
         (0..2usize).prop_map(Event::Drain),
         (0..2usize, 0..3000u64).prop_map(|(name, millis)| Event::Backoff(name, millis)),
@@ -362,25 +362,25 @@
         let mut now = 0;
         for event in events {
             match event {
-                Event::Put(name, born) => fleet.put_server(at(now), record(NAMES[name], born), None),
+                Event::Put(name, started_at) => fleet.put_server(at(now), record(NAMES[name], started_at), None),
                 Event::Remove(name) => fleet.remove_server(at(now), NAMES[name]),
                 Event::Wait(millis) => now += millis,
                 Event::Drain(name) => if let Some(id) = fleet.find(NAMES[name]) {
                     fleet.apply_signals(at(now), id, &draining());
-                    let born = fleet.server(id).record.born.millis();
-                    instances.entry((name, born)).or_default().is_draining = true;
+                    let started_at = fleet.server(id).record.started_at.millis();
+                    instances.entry((name, started_at)).or_default().is_draining = true;
                 },
                 Event::Backoff(name, millis) => if let Some(id) = fleet.find(NAMES[name]) {
                     fleet.apply_signals(at(now), id, &backoff(millis));
-                    let born = fleet.server(id).record.born.millis();
-                    let instance = instances.entry((name, born)).or_default();
+                    let started_at = fleet.server(id).record.started_at.millis();
+                    let instance = instances.entry((name, started_at)).or_default();
                     instance.backoff_until = instance.backoff_until.max(now + millis);
                 },
             }
             if let LocalOption::Free(choice) = choose(&mut fleet, at(now)) {
                 let chosen = &fleet.server(choice.server).record;
                 let name = NAMES.iter().position(|name| *name == chosen.name.as_str()).unwrap();
-                let instance = instances.get(&(name, chosen.born.millis())).copied().unwrap_or_default();
+                let instance = instances.get(&(name, chosen.started_at.millis())).copied().unwrap_or_default();
                 prop_assert!(!instance.is_draining, "a draining instance was chosen");
                 prop_assert!(instance.backoff_until <= now, "an instance in backoff was chosen");
             }
--- a/crates/fleet/tests/size.rs
+++ b/crates/fleet/tests/size.rs
@@ -98,7 +98,7 @@
 fn an_older_instance_does_not_replace_a_newer_unused_one() {
     let mut view = FleetView::new(place("vm0", &CENTERS));
     let started_at = |number: usize, millis| ServerRecord {
-        born: onyxfall_fleet::StartTime::from_millis(millis),
+        started_at: onyxfall_fleet::StartTime::from_millis(millis),
         ..numbered_record(number, "c0")
     };
     for number in 0..2000 {
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -36,7 +36,7 @@
 pub fn ready_server(name: &str) -> ServerRecord {
     ServerRecord {
         name: name.parse().unwrap(),
-        born: StartTime::UNKNOWN,
+        started_at: StartTime::UNKNOWN,
         service: "svc".parse().unwrap(),
         version: None,
         address: ([127, 0, 0, 1], 1).into(),
--- a/crates/gateway/src/costs.rs
+++ b/crates/gateway/src/costs.rs
@@ -41,8 +41,8 @@
             service: name_tag(service.as_str()),
             first: report.first.map(narrow).to_vec(),
             first_samples: report.first_samples,
-            pace: report.pace.map(narrow).to_vec(),
-            pace_samples: report.pace_samples,
+            pace: report.event_interval.map(narrow).to_vec(),
+            pace_samples: report.interval_samples,
             plain_ms: narrow(report.plain_ms),
             plain_samples: report.plain_samples,
         })
@@ -79,13 +79,13 @@
 
 fn report_from_entry(entry: &ServiceCostEntry) -> Option<CostReport> {
     let first: [f32; 5] = entry.first.as_slice().try_into().ok()?;
-    let pace: [f32; 3] = entry.pace.as_slice().try_into().ok()?;
+    let event_interval: [f32; 3] = entry.pace.as_slice().try_into().ok()?;
     Some(CostReport {
         vms: entry.vms,
         first: first.map(f64::from),
         first_samples: entry.first_samples,
-        pace: pace.map(f64::from),
-        pace_samples: entry.pace_samples,
+        event_interval: event_interval.map(f64::from),
+        interval_samples: entry.pace_samples,
         plain_ms: f64::from(entry.plain_ms),
         plain_samples: entry.plain_samples,
     })
--- a/crates/gateway/src/frames.rs
+++ b/crates/gateway/src/frames.rs
@@ -140,7 +140,7 @@
             .map(|entry| ServerWorkEntry {
                 server: entry.server.0,
                 requests: entry.share.requests,
-                unread: entry.share.unread.as_slice().to_vec(),
+                unread: entry.share.prefill.as_slice().to_vec(),
                 memory: entry.share.memory,
                 flow: entry.share.flow,
                 good: entry.share.votes.good,
@@ -162,7 +162,7 @@
                 server: ServerTag(entry.server),
                 share: WorkShare {
                     requests: entry.requests,
-                    unread: PrefillTokens::from_slice(&entry.unread),
+                    prefill: PrefillTokens::from_slice(&entry.unread),
                     memory: entry.memory,
                     flow: entry.flow,
                     votes: ServerVotes {
@@ -185,18 +185,22 @@
     update.suspects = requests
         .map(|request| SuspectEntry {
             fingerprint: Bytes::copy_from_slice(request.fingerprint.as_bytes()),
-            lives: request.crashes.iter().map(|c| c.life.number()).collect(),
+            lives: request
+                .crashes
+                .iter()
+                .map(|c| c.instance.number())
+                .collect(),
             ages_ms: request.crashes.iter().map(|c| wire_millis(c.age)).collect(),
             survivals: request.crashes.iter().map(|c| c.survivals).collect(),
             good_runs: request.good_runs,
         })
         .collect();
-    let lives = suspects.lives.iter();
-    update.lost_lives = lives
-        .map(|life| LostInstanceEntry {
-            life: life.life.number(),
-            survivals: life.survivals,
-            lost_ms: life.lost.map(wire_millis),
+    let instances = suspects.instances.iter();
+    update.lost_lives = instances
+        .map(|instance| LostInstanceEntry {
+            life: instance.instance.number(),
+            survivals: instance.survivals,
+            lost_ms: instance.lost.map(wire_millis),
         })
         .collect();
 }
@@ -205,29 +209,29 @@
 pub(crate) fn read_suspects(update: &VmUpdate) -> (SuspectUpdate, u64) {
     let requests: Vec<RequestUpdate> = update.suspects.iter().filter_map(read_suspect).collect();
     let malformed = update.suspects.len() - requests.len();
-    let lives = update.lost_lives.iter().map(|entry| InstanceUpdate {
-        life: InstanceTag::from_number(entry.life),
+    let instances = update.lost_lives.iter().map(|entry| InstanceUpdate {
+        instance: InstanceTag::from_number(entry.life),
         survivals: entry.survivals,
         lost: entry.lost_ms.map(read_millis),
     });
     let suspects = SuspectUpdate {
         requests,
-        lives: lives.collect(),
+        instances: instances.collect(),
     };
     (suspects, malformed as u64)
 }
 
 fn read_suspect(entry: &SuspectEntry) -> Option<RequestUpdate> {
-    let lives = entry.lives.len();
-    if lives != entry.ages_ms.len() || lives != entry.survivals.len() {
+    let instances = entry.lives.len();
+    if instances != entry.ages_ms.len() || instances != entry.survivals.len() {
         return None;
     }
     let crashes = entry.lives.iter().zip(&entry.ages_ms).zip(&entry.survivals);
     Some(RequestUpdate {
         fingerprint: entry.fingerprint.as_ref().try_into().ok()?,
         crashes: crashes
-            .map(|((life, age), survivals)| CrashUpdate {
-                life: InstanceTag::from_number(*life),
+            .map(|((instance, age), survivals)| CrashUpdate {
+                instance: InstanceTag::from_number(*instance),
                 age: read_millis(*age),
                 survivals: *survivals,
             })
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -379,14 +379,14 @@
     let [answers, figures @ ..] = figures_of(counts);
     WorkShare {
         memory: answers,
-        unread: PrefillTokens::from_slice(&figures),
+        prefill: PrefillTokens::from_slice(&figures),
         ..WorkShare::default()
     }
 }
 
 fn evidence_counts(share: &WorkShare) -> EvidenceCounts {
     let mut figures = vec![share.memory];
-    figures.extend(share.unread.as_slice());
+    figures.extend(share.prefill.as_slice());
     read_figures(&figures)
 }
 
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -22,12 +22,12 @@
         server: ServerId,
         signals: ServerSignals,
     ) {
-        if signals.rest == BackoffSignal::None && !signals.is_leaving {
+        if signals.backoff == BackoffSignal::None && !signals.is_draining {
             return;
         }
         let now = self.now();
         let changes = self.fleet.borrow_mut().apply_signals(now, server, &signals);
-        if signals.rest == BackoffSignal::Malformed {
+        if signals.backoff == BackoffSignal::Malformed {
             self.metrics.count("onyxfall_malformed_rests_total");
         }
         if changes != SignalChanges::default() {
@@ -38,8 +38,8 @@
     /// Logs signal changes, one line for each.
     fn log_signal_changes(&self, call: &CallContext, server: ServerId, changes: SignalChanges) {
         let counted = [
-            (changes.leaves, "onyxfall_leavings_told_total"),
-            (changes.rests, "onyxfall_rests_asked_total"),
+            (changes.drains, "onyxfall_leavings_told_total"),
+            (changes.backs_off, "onyxfall_rests_asked_total"),
         ];
         for (_, name) in counted.iter().filter(|(has_changed, _)| *has_changed) {
             self.metrics.count(name);
@@ -51,9 +51,9 @@
         log::info!(
             request = call.request_id.as_str(),
             server = state.record.name.as_str(),
-            born:% = state.record.born,
-            leaves = changes.leaves,
-            rests = changes.rests,
+            born:% = state.record.started_at,
+            leaves = changes.drains,
+            rests = changes.backs_off,
             rest_ms = millis(backoff_end - now);
             "a server is draining or asks for backoff"
         );
@@ -94,7 +94,7 @@
         self.metrics.count("onyxfall_limit_changes_total");
         log::info!(
             server = state.record.name.as_str(),
-            born:% = state.record.born,
+            born:% = state.record.started_at,
             limit_per_s = limit.map_or(-1.0, RequestRate::per_second);
             "limit of a server changed"
         );
--- a/crates/gateway/src/store_changes.rs
+++ b/crates/gateway/src/store_changes.rs
@@ -99,7 +99,7 @@
         let record = &fleet.server(id).record;
         log::info!(
             server = record.name.as_str(),
-            born:% = record.born,
+            born:% = record.started_at,
             service = record.service.as_str(),
             phase:? = record.phase,
             cold_ms = millis(record.cold_left);
--- a/crates/gateway/src/updates.rs
+++ b/crates/gateway/src/updates.rs
@@ -307,13 +307,14 @@
                     )
                 })
                 .collect();
-            let Some((least, pace)) = offers.iter().min_by_key(|(offer, _)| offer.loaded) else {
+            let Some((least, event_interval)) = offers.iter().min_by_key(|(offer, _)| offer.loaded)
+            else {
                 continue;
             };
             let load = ServiceLoad {
                 wait: least.loaded,
                 usable: u32::try_from(offers.len()).unwrap_or(u32::MAX),
-                pace: *pace,
+                event_interval: *event_interval,
                 backlog: least.backlog,
                 spare: if service.engine.is_none() {
                     thousandths(fleet.spare(now, &service.name))
@@ -349,7 +350,7 @@
         service,
         wait_ms: wire_millis(load.wait),
         backlog_ms: wire_millis(load.backlog),
-        pace_ms: wire_millis(load.pace),
+        pace_ms: wire_millis(load.event_interval),
         usable: load.usable,
         spare: load.spare,
     }
@@ -359,7 +360,7 @@
     ServiceLoad {
         wait: Duration::from_millis(entry.wait_ms.into()),
         usable: entry.usable,
-        pace: Duration::from_millis(entry.pace_ms.into()),
+        event_interval: Duration::from_millis(entry.pace_ms.into()),
         backlog: Duration::from_millis(entry.backlog_ms.into()),
         spare: entry.spare,
     }
--- a/crates/gateway/tests/backoff.rs
+++ b/crates/gateway/tests/backoff.rs
@@ -27,8 +27,8 @@
 
 fn asking_backoff(seconds: &'static str) -> StubSignals {
     StubSignals {
-        is_leaving: false,
-        rest: Some(RequestedBackoff { seconds, every: 1 }),
+        is_draining: false,
+        backoff: Some(RequestedBackoff { seconds, every: 1 }),
         ..StubSignals::default()
     }
 }
--- a/crates/gateway/tests/draining.rs
+++ b/crates/gateway/tests/draining.rs
@@ -16,8 +16,8 @@
 use support::{Gateway, Site, call, record, relay, wait_used};
 
 const DRAINING: StubSignals = StubSignals {
-    is_leaving: true,
-    rest: None,
+    is_draining: true,
+    backoff: None,
     limit: None,
 };
 /// Number of requests of which some would reach each of two eligible servers.
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -204,7 +204,7 @@
     ) {
         let record = ServerRecord {
             name: name.parse().unwrap(),
-            born: StartTime::UNKNOWN,
+            started_at: StartTime::UNKNOWN,
             service: service.parse().unwrap(),
             version: None,
             address,
@@ -447,10 +447,10 @@
 }
 
 /// Store entry of a server in the first VM's data centre.
-pub fn record(name: &str, server: &ServerStub, born: u64) -> ServerRecord {
+pub fn record(name: &str, server: &ServerStub, started_at: u64) -> ServerRecord {
     ServerRecord {
         name: name.parse().unwrap(),
-        born: StartTime::from_millis(born),
+        started_at: StartTime::from_millis(started_at),
         service: SERVICE.parse().unwrap(),
         version: None,
         address: server.address(),
--- a/crates/overlay/src/totals.rs
+++ b/crates/overlay/src/totals.rs
@@ -445,7 +445,7 @@
 fn is_plausible(share: &WorkShare) -> bool {
     share.requests <= MAX_REQUESTS
         && share.votes.good.max(share.votes.bad) <= MAX_REQUESTS
-        && share.unread.total() <= MAX_TOKENS
+        && share.prefill.total() <= MAX_TOKENS
         && share.memory <= MAX_TOKENS
         && share.flow <= MAX_TOKENS
         && share.limits.vms <= MAX_REQUESTS
--- a/crates/overlay/tests/totals.rs
+++ b/crates/overlay/tests/totals.rs
@@ -22,7 +22,7 @@
 fn share(requests: u32) -> WorkShare {
     WorkShare {
         requests,
-        unread: PrefillTokens::of(3, u64::from(requests) * 100),
+        prefill: PrefillTokens::of(3, u64::from(requests) * 100),
         memory: u64::from(requests) * 1000,
         flow: 0,
         ..WorkShare::default()
@@ -162,9 +162,9 @@
             },
         },
         ImplausibleCase {
-            name: "unread tokens",
+            name: "tokens pending prefill",
             share: WorkShare {
-                unread: PrefillTokens::of(0, u64::MAX),
+                prefill: PrefillTokens::of(0, u64::MAX),
                 ..WorkShare::default()
             },
         },
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -281,7 +281,7 @@
         let name = server_name(server, state.generation);
         ServerRecord {
             name: name.parse().expect("a name of letters and digits"),
-            born: StartTime::from_millis(state.started_ms),
+            started_at: StartTime::from_millis(state.started_ms),
             service: SERVICE.parse().expect("a name of letters"),
             version: None,
             address: state.link.address(),
@@ -343,13 +343,13 @@
 
     /// Makes the present instance of a server signal that it is draining.
     pub(crate) fn signal_drain(&self, server: usize) {
-        self.set_signals(server, |signals| signals.is_leaving = true);
+        self.set_signals(server, |signals| signals.is_draining = true);
     }
 
     /// Makes the present instance of a server reject requests and ask for `backoff`; `None` ends
     /// that.
     pub(crate) fn set_backoff(&self, server: usize, backoff: Option<RequestedBackoff>) {
-        self.set_signals(server, |signals| signals.rest = backoff);
+        self.set_signals(server, |signals| signals.backoff = backoff);
     }
 
     /// Makes the present instance of a server signal a limit in requests per second; `None`
--- a/crates/soak/src/signals.rs
+++ b/crates/soak/src/signals.rs
@@ -127,7 +127,7 @@
     pub(crate) fn read_at(&self, arrived: &ArrivedRequest) -> Option<Instant> {
         let read = self.calls.get(&arrived.request_id)?.read?;
         let last = self.last_arrivals.get(&arrived.request_id);
-        let went_on = arrived.said.rest.is_none() && last.is_some_and(|last| *last > arrived.at);
+        let went_on = arrived.said.backoff.is_none() && last.is_some_and(|last| *last > arrived.at);
         (arrived.at < read && !went_on).then_some(read)
     }
 
@@ -165,13 +165,16 @@
                 sent,
                 until,
             };
-            if arrived.said.is_leaving {
+            if arrived.said.is_draining {
                 checked.push(signal(None));
             }
-            let seconds = arrived.said.rest.and_then(|rest| rest.seconds.parse().ok());
-            let rest = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
-            if let Some(rest) = rest {
-                checked.push(signal(Some(sent + rest)));
+            let seconds = arrived
+                .said
+                .backoff
+                .and_then(|backoff| backoff.seconds.parse().ok());
+            let backoff = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
+            if let Some(backoff) = backoff {
+                checked.push(signal(Some(sent + backoff)));
             }
         }
         checked
--- a/crates/suspects/src/table.rs
+++ b/crates/suspects/src/table.rs
@@ -209,9 +209,9 @@
             requests: requests
                 .map(|(fingerprint, record)| request_update(now, *fingerprint, record))
                 .collect(),
-            lives: instances
+            instances: instances
                 .map(|(tag, instance)| InstanceUpdate {
-                    life: *tag,
+                    instance: *tag,
                     survivals: instance.survivals,
                     lost: instance.lost.map(|at| now - at),
                 })
@@ -225,9 +225,9 @@
     /// a request with more than one crash.
     pub fn take(&mut self, now: Moment, update: &SuspectUpdate) -> bool {
         let mut is_urgent = false;
-        for instance in &update.lives {
+        for instance in &update.instances {
             let lost = instance.lost.map(|age| now.before(age));
-            self.apply_instance(now, instance.life, instance.survivals, lost);
+            self.apply_instance(now, instance.instance, instance.survivals, lost);
         }
         for request in &update.requests {
             let crashes: Vec<(InstanceTag, CrashRecord)> = request
@@ -236,7 +236,7 @@
                 .map(|crash| {
                     let at = now.before(crash.age);
                     let survivals = crash.survivals;
-                    (crash.life, CrashRecord { at, survivals })
+                    (crash.instance, CrashRecord { at, survivals })
                 })
                 .collect();
             let is_changed = self.apply_request(request.fingerprint, request.good_runs, &crashes);
@@ -356,8 +356,8 @@
         good_runs: record.good_runs,
         crashes: record
             .crashes()
-            .map(|(life, crash)| CrashUpdate {
-                life,
+            .map(|(instance, crash)| CrashUpdate {
+                instance,
                 age: now - crash.at,
                 survivals: crash.survivals,
             })
--- a/crates/suspects/src/update.rs
+++ b/crates/suspects/src/update.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashUpdate {
     /// The instance.
-    pub life: InstanceTag,
+    pub instance: InstanceTag,
     /// Time since the loss.
     pub age: Duration,
     /// Survivals of the instance before this loss.
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InstanceUpdate {
     /// The instance.
-    pub life: InstanceTag,
+    pub instance: InstanceTag,
     /// Number of times a liveness signal of the instance followed a loss.
     pub survivals: u32,
     /// Time since the first loss after the last survival, if there was one.
@@ -47,7 +47,7 @@
     /// Changed requests.
     pub requests: Vec<RequestUpdate>,
     /// Changed server instances.
-    pub lives: Vec<InstanceUpdate>,
+    pub instances: Vec<InstanceUpdate>,
 }
 
 impl SuspectUpdate {
@@ -57,7 +57,7 @@
     /// assert!(onyxfall_suspects::SuspectUpdate::default().is_empty());
     /// ```
     pub fn is_empty(&self) -> bool {
-        self.requests.is_empty() && self.lives.is_empty()
+        self.requests.is_empty() && self.instances.is_empty()
     }
 }
 
