--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -487,7 +487,7 @@
         } = (**dormant).clone();
         let region = self.pools.get(pool).key.region.clone();
         let cold_rate = self.pools.get(pool).cold_rate;
-        let (name, started_at) = (record.name.clone(), record.started_at);
+        let (name, start) = (record.name.clone(), record.started_at);
         let cold_until = self.cold_until.get(&record.center).copied();
         let mut state = ServerState::new(received_at, record, region, cold_rate);
         if let Some(until) = cold_until {
@@ -498,12 +498,10 @@
             .get(&name)
             .and_then(|latest| latest.last_working);
         match last_working {
-            Some(prior) if self.servers[prior].record.started_at == started_at => {
-                state.inherit_signals(&self.servers[prior]);
-            }
-            Some(prior) => {
-                state.apply_ambiguous(received_at, &self.ambiguous_signals(prior, started_at))
+            Some(old) if self.servers[old].record.started_at == start => {
+                state.inherit_signals(&self.servers[old]);
             }
+            Some(old) => state.apply_ambiguous(received_at, &self.ambiguous_signals(old, start)),
             None => {}
         }
         let id = self.servers.push(state);
@@ -602,9 +600,7 @@
         let latest = self.latest.get(&record.name);
         let last_working = latest.and_then(|latest| latest.last_working);
         last_working
-            .filter(|last_working| {
-                self.server(*last_working).record.started_at == record.started_at
-            })
+            .filter(|prior| self.server(*prior).record.started_at == record.started_at)
             .unwrap_or(id)
     }
 
--- a/crates/gateway/src/store_changes.rs
+++ b/crates/gateway/src/store_changes.rs
@@ -68,7 +68,7 @@
             log::warn!(service = order.service.as_str(); "no such service is configured");
         }
         let mut rollouts = self.rollouts.borrow_mut();
-        rollouts.take_order(self.now(), revision, order);
+        rollouts.apply_order(self.now(), revision, order);
         drop(rollouts);
         self.rollout_known.notify_one();
         self.refresh_rollout_routes();
@@ -115,13 +115,13 @@
             StoreEntry::Rollout(service, record) => {
                 let revision = self.item_revision(key);
                 let mut rollouts = self.rollouts.borrow_mut();
-                rollouts.take_record(now, &service, revision, record);
+                rollouts.apply_record(now, &service, revision, record);
                 self.rollout_known.notify_one();
             }
             StoreEntry::Shift(service, region, order) => {
                 let revision = self.item_revision(key);
                 let mut rollouts = self.rollouts.borrow_mut();
-                rollouts.take_shift(now, &service, region, order, revision);
+                rollouts.apply_shift(now, &service, region, order, revision);
             }
             StoreEntry::Config(next) => self.apply_table(*next),
             StoreEntry::Server(record) => self.apply_server(now, record, table.as_deref()),
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -234,7 +234,7 @@
         let (changes, malformed) = read_suspects(update);
         self.metrics
             .count_more("onyxfall_absurd_suspects_total", malformed);
-        let is_urgent = self.suspects.borrow_mut().table.take(now, &changes);
+        let is_urgent = self.suspects.borrow_mut().table.apply(now, &changes);
         if is_urgent {
             self.send_updates_now.notify_waiters();
         }
--- a/crates/gateway/src/updates.rs
+++ b/crates/gateway/src/updates.rs
@@ -90,7 +90,7 @@
             return Some(UpdateReceiveState::default());
         };
         let relation = message.relation;
-        let received = self.overlay.borrow_mut().take(now, from, &message);
+        let received = self.overlay.borrow_mut().apply(now, from, &message);
         self.metrics
             .count_more("onyxfall_absurd_work_total", received.implausible as u64);
         if received.is_cut {
--- a/crates/overlay/src/node.rs
+++ b/crates/overlay/src/node.rs
@@ -158,7 +158,7 @@
     }
 
     /// Applies a received message.
-    pub fn take(&mut self, now: Moment, from: &VmName, update: &OverlayUpdate) -> ReceivedWork {
+    pub fn apply(&mut self, now: Moment, from: &VmName, update: &OverlayUpdate) -> ReceivedWork {
         match &update.record {
             Some(record) if record.name == *from => self.roster.receive(now, record),
             _ => self.roster.renew(now, from),
@@ -180,11 +180,11 @@
             LinkRelation::Report => {
                 self.reported_since.get_or_insert(now);
                 self.totals.remove(from, WorkOrigin::Partial);
-                self.totals.take(now, from, WorkOrigin::Member, work)
+                self.totals.apply(now, from, WorkOrigin::Member, work)
             }
             LinkRelation::Partial => {
                 self.totals.remove(from, WorkOrigin::Member);
-                self.totals.take(now, from, WorkOrigin::Partial, work)
+                self.totals.apply(now, from, WorkOrigin::Partial, work)
             }
             LinkRelation::Digest => self.totals.apply_digest(now, from, update.is_warm, work),
             // The member now reports to another aggregator, which counts its work.
--- a/crates/overlay/src/totals.rs
+++ b/crates/overlay/src/totals.rs
@@ -180,7 +180,7 @@
     }
 
     /// Applies the work received from another VM.
-    pub fn take(
+    pub fn apply(
         &mut self,
         now: Moment,
         from: &VmName,
@@ -244,7 +244,7 @@
         is_warm: bool,
         update: &WorkUpdate,
     ) -> ReceivedWork {
-        let received = self.take(now, from, WorkOrigin::Digest, update);
+        let received = self.apply(now, from, WorkOrigin::Digest, update);
         let mut others = self.counted_digests();
         others.retain(|(name, _)| name != from);
         let own = (from.clone(), WorkOrigin::Digest);
--- a/crates/overlay/tests/support/mod.rs
+++ b/crates/overlay/tests/support/mod.rs
@@ -378,11 +378,11 @@
         let forward = &mut link.forward;
         let report =
             self.nodes[member].next_update(now, LinkRelation::Report, Some(other), forward);
-        self.nodes[aggregator].take(now, own, &report);
+        self.nodes[aggregator].apply(now, own, &report);
         let backward = &mut link.backward;
         let digest =
             self.nodes[aggregator].next_update(now, LinkRelation::Digest, Some(own), backward);
-        self.nodes[member].take(now, other, &digest);
+        self.nodes[member].apply(now, other, &digest);
         for (index, update) in [(member, &report), (aggregator, &digest)] {
             self.counts[index] += 2;
             self.entries[index] += entries_of(update);
@@ -512,7 +512,7 @@
             }
             self.counts[frame.to] += 1;
             let from = self.records[frame.from].name.clone();
-            let taken = self.nodes[frame.to].take(at, &from, &frame.update);
+            let taken = self.nodes[frame.to].apply(at, &from, &frame.update);
             if taken.is_cut {
                 self.links.remove(&pair);
                 continue;
--- a/crates/overlay/tests/totals.rs
+++ b/crates/overlay/tests/totals.rs
@@ -115,7 +115,7 @@
                     held.1.extend(as_map(&work));
                     let changes: Vec<(u32, u32)> = as_map(&work).into_iter().collect();
                     let told = update(is_whole, &changes);
-                    totals.take(at(now), &vm(number), WorkOrigin::Member, &told);
+                    totals.apply(at(now), &vm(number), WorkOrigin::Member, &told);
                 }
                 Step::Leave(number) => {
                     told.remove(&number);
@@ -185,7 +185,7 @@
     ];
     for case in cases {
         let mut totals = WorkTotals::default();
-        totals.take(at(0), &vm(1), WorkOrigin::Partial, &update(true, &[(0, 2)]));
+        totals.apply(at(0), &vm(1), WorkOrigin::Partial, &update(true, &[(0, 2)]));
         let implausible = WorkUpdate {
             is_whole: false,
             entries: vec![WorkEntry {
@@ -193,7 +193,7 @@
                 share: case.share,
             }],
         };
-        let received = totals.take(at(0), &vm(1), WorkOrigin::Partial, &implausible);
+        let received = totals.apply(at(0), &vm(1), WorkOrigin::Partial, &implausible);
         assert_eq!(received.implausible, 1, "{}", case.name);
         assert_eq!(totals.others(ServerTag(0)), share(2), "{}", case.name);
     }
@@ -202,7 +202,7 @@
 #[test]
 fn a_difference_without_a_complete_update_is_cut() {
     let mut totals = WorkTotals::default();
-    let received = totals.take(at(0), &vm(1), WorkOrigin::Member, &update(false, &[(0, 2)]));
+    let received = totals.apply(at(0), &vm(1), WorkOrigin::Member, &update(false, &[(0, 2)]));
     let expected = ReceivedWork {
         implausible: 0,
         is_cut: true,
@@ -214,7 +214,7 @@
 #[test]
 fn a_paused_vm_continues_from_its_last_update() {
     let mut totals = WorkTotals::default();
-    totals.take(
+    totals.apply(
         at(0),
         &vm(1),
         WorkOrigin::Member,
@@ -222,7 +222,7 @@
     );
     totals.expire(at(3000));
     assert_eq!(totals.others(ServerTag(1)), share(0));
-    totals.take(
+    totals.apply(
         at(3100),
         &vm(1),
         WorkOrigin::Member,
--- a/crates/rollout/src/table.rs
+++ b/crates/rollout/src/table.rs
@@ -127,7 +127,7 @@
     }
 
     /// Applies the operator's order.
-    pub fn take_order(&mut self, now: Moment, revision: u64, order: RolloutOrder) {
+    pub fn apply_order(&mut self, now: Moment, revision: u64, order: RolloutOrder) {
         let rollout = self.rollout(&order.service);
         rollout.apply_order(now, revision, order);
     }
@@ -140,7 +140,7 @@
     }
 
     /// Applies the store's record of a service.
-    pub fn take_record(
+    pub fn apply_record(
         &mut self,
         now: Moment,
         service: &ServiceName,
@@ -152,7 +152,7 @@
     }
 
     /// Applies a region's mark that it has started to shift its traffic by an order.
-    pub fn take_shift(
+    pub fn apply_shift(
         &mut self,
         now: Moment,
         service: &ServiceName,
--- a/crates/rollout/tests/support/mod.rs
+++ b/crates/rollout/tests/support/mod.rs
@@ -245,7 +245,7 @@
             Duration::ZERO
         });
         if !matches!(self.fault, TestFault::Withdrawn(at) if self.now() >= at) {
-            table.take_order(seen, ORDER, order(self.scenario.time));
+            table.apply_order(seen, ORDER, order(self.scenario.time));
         }
         let routes: Vec<RouteName> = ROUTES.iter().map(|route| route.parse().unwrap()).collect();
         table.set_routes(&service(), &routes, Duration::from_secs(3));
@@ -330,10 +330,10 @@
             let table = &mut self.vms[vm].table;
             match change {
                 Change::Record(record) => {
-                    table.take_record(now, &service(), *revision, record.clone());
+                    table.apply_record(now, &service(), *revision, record.clone());
                 }
                 Change::Shift(region, order) => {
-                    table.take_shift(now, &service(), region.clone(), *order, *revision);
+                    table.apply_shift(now, &service(), region.clone(), *order, *revision);
                 }
                 Change::Withdrawn => table.withdraw(&service()),
             }
--- a/crates/suspects/src/table.rs
+++ b/crates/suspects/src/table.rs
@@ -223,7 +223,7 @@
 
     /// Applies another VM's update. Returns whether it must be forwarded at once: it changes
     /// a request with more than one crash.
-    pub fn take(&mut self, now: Moment, update: &SuspectUpdate) -> bool {
+    pub fn apply(&mut self, now: Moment, update: &SuspectUpdate) -> bool {
         let mut is_urgent = false;
         for instance in &update.instances {
             let lost = instance.lost.map(|age| now.before(age));
--- a/crates/suspects/tests/verdicts.rs
+++ b/crates/suspects/tests/verdicts.rs
@@ -255,7 +255,7 @@
         if update.is_empty() {
             return;
         }
-        to.take(now, &update);
+        to.apply(now, &update);
     }
 }
 
@@ -298,7 +298,7 @@
                     last_round = round;
                 }
                 now += delay;
-                tables[to].take(at(now), &update);
+                tables[to].apply(at(now), &update);
             }
         }
         assert!(
@@ -374,9 +374,9 @@
             // Each hop takes 60 ms, so that the receiver's time of every crash is 60 ms late.
             let sent = at(100_000 + rounds * 120);
             let update = first.next_update(sent, &mut cursor_second);
-            second.take(sent + Duration::from_millis(60), &update);
+            second.apply(sent + Duration::from_millis(60), &update);
             let reply = second.next_update(sent + Duration::from_millis(60), &mut cursor_first);
-            first.take(sent + Duration::from_millis(120), &reply);
+            first.apply(sent + Duration::from_millis(120), &reply);
             if update.is_empty() && reply.is_empty() {
                 break;
             }
