--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins for the systems that onyxfall meets: scaffolding for tests,
-//! the try-out and experiments, not part of the product.
+//! Stubs of the systems around onyxfall, for tests, the try-out and experiments; not part
+//! of the product.
 //!
-//! Each stand-in listens on loopback and takes its faults through a shared
-//! handle, or over HTTP at `/fake/control` when it runs in another process.
+//! Each stub listens on loopback. Its faults are set through a shared handle, or over HTTP
+//! at `/fake/control` when it runs in another process.
 
 mod control;
 mod copies;
@@ -19,8 +19,8 @@
 pub use link::{FakeLink, LinkRules};
 pub use platform::{FakePlatform, PlatformFaults};
 pub use server::{
-    ArrivedRequest, AskedRest, CRASHING_BODY, DeathMoment, ReceivedRequest, SaidWord,
-    ServerFailing, ServerStandIn,
+    ArrivedRequest, BreakPoint, CRASHING_BODY, ReceivedRequest, RequestedBackoff, ServerFault,
+    ServerStub, StubSignals,
 };
 pub use service::{FakeService, ServiceFaults, ServiceSettings};
-pub use store::{StoreMode, StoreStandIn};
+pub use store::{StoreMode, StoreStub};
--- a/crates/fleet/benches/choice.rs
+++ b/crates/fleet/benches/choice.rs
@@ -1,8 +1,8 @@
 //! Time of one choice of a server in a data centre of the planned size: 135 servers,
 //! shared prefixes, the work of seven other VMs at each.
 //!
-//! A choice with the booking of its attempt, first byte and end took 13 us with fixed
-//! costs and 18 us with learned ones, on one of eight cores, four of them busy.
+//! A choice, including the records of its attempt, first byte and end, took 13 us with
+//! fixed costs and 18 us with learned ones, on one of eight cores, four of them busy.
 
 use std::hint::black_box;
 use std::net::SocketAddr;
@@ -10,8 +10,9 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use onyxfall_fleet::{
-    AttemptResult, CallNeeds, EngineLimits, FleetView, HomeRegions, LocalOption, PromptPart,
-    PromptSize, ServerBirth, ServerPhase, ServerRecord, UnreadTokens, VmPlace, WorkShare,
+    AttemptResult, CallRequirements, EngineLimits, FleetView, HomeRegions, LocalOption,
+    PrefillTokens, PromptPart, PromptSize, ServerPhase, ServerRecord, StartTime, VmLocation,
+    WorkShare,
 };
 use onyxfall_policy::Moment;
 use rand::SeedableRng;
@@ -27,7 +28,7 @@
 
 fn view() -> FleetView {
     let center = ("c0".parse().unwrap(), "r0".parse().unwrap());
-    let mut view = FleetView::new(VmPlace {
+    let mut view = FleetView::new(VmLocation {
         vm: "vm0".parse().unwrap(),
         center: "c0".parse().unwrap(),
         region: "r0".parse().unwrap(),
@@ -37,7 +38,7 @@
         let name = format!("s{server}");
         let record = ServerRecord {
             name: name.parse().unwrap(),
-            born: ServerBirth::UNKNOWN,
+            started_at: StartTime::UNKNOWN,
             service: "svc".parse().unwrap(),
             version: None,
             address: SocketAddr::from(([127, 0, 0, 1], 1)),
@@ -50,7 +51,7 @@
         let id = view.find(&name).unwrap();
         let one = WorkShare {
             requests: 2,
-            unread: UnreadTokens::of(5, 900 * (server as u64 % 7)),
+            prefill: PrefillTokens::of(5, 900 * (server as u64 % 7)),
             memory: 20_000,
             flow: 2000,
             ..WorkShare::default()
@@ -62,9 +63,9 @@
     view
 }
 
-fn needs(number: u64) -> CallNeeds {
+fn needs(number: u64) -> CallRequirements {
     let part = |id, tokens| PromptPart { id, tokens };
-    CallNeeds {
+    CallRequirements {
         service: "svc".parse().unwrap(),
         engine: Some(EngineLimits {
             slots: 64,
@@ -98,7 +99,7 @@
             let choice = view.choose(now, &needs, &[], &mut rng);
             if let LocalOption::Free(choice) = black_box(choice) {
                 view.start_attempt(now, choice.server, number, &needs);
-                view.note_answer(at(number + 100), choice.server, number);
+                view.record_response(at(number + 100), choice.server, number);
                 let result = AttemptResult::Succeeded;
                 view.end_attempt(at(number + 900), choice.server, number, result, Some(50));
             }
--- a/crates/fleet/tests/affinity.rs
+++ b/crates/fleet/tests/affinity.rs
@@ -1,4 +1,5 @@
-//! Short shared parts of prompts: kept to their own server as far as that costs little.
+//! Affinity of short shared prompt parts: requests stay with the part's owner while
+//! this costs little, and leave a busy owner.
 
 mod support;
 
@@ -6,8 +7,8 @@
 use std::time::Duration;
 
 use onyxfall_fleet::{
-    CallNeeds, EngineLimits, FleetView, HomeRegions, LocalOption, PromptPart, PromptSize,
-    ServerRecord, UnreadTokens, WorkShare,
+    CallRequirements, EngineLimits, FleetView, HomeRegions, LocalOption, PrefillTokens, PromptPart,
+    PromptSize, ServerRecord, WorkShare,
 };
 use onyxfall_types::ServerId;
 use rand::SeedableRng;
@@ -16,12 +17,13 @@
 
 const SERVERS: usize = 50;
 const VMS: usize = 60;
-/// Shared parts, and requests for each.
+/// Number of shared parts, and of requests per part.
 const PARTS: u64 = 500;
-const TURNS: u64 = 6;
+const REQUESTS_PER_PART: u64 = 6;
 const SHARED: u64 = 200;
 
-/// A VM of a region of many that know each other's work as it was 0.15 s ago.
+/// View of one VM of a large region in which VMs know each other's work with a delay of
+/// 0.15 s.
 fn view() -> FleetView {
     let mut view = FleetView::new(place("vm0", &[("c0", "r0")]));
     for server in 0..SERVERS {
@@ -40,10 +42,10 @@
     view
 }
 
-fn needs(own: u64) -> CallNeeds {
+fn needs(seq: u64) -> CallRequirements {
     let part = |id, tokens| PromptPart { id, tokens };
-    let parts = vec![part(own % PARTS + 1, SHARED), part(1_000_000 + own, 1800)];
-    CallNeeds {
+    let parts = vec![part(seq % PARTS + 1, SHARED), part(1_000_000 + seq, 1800)];
+    CallRequirements {
         service: "svc".parse().unwrap(),
         engine: Some(EngineLimits {
             slots: 32,
@@ -65,62 +67,62 @@
     }
 }
 
-fn choose(view: &mut FleetView, now: u64, needs: &CallNeeds, rng: &mut StdRng) -> ServerId {
+fn choose(view: &mut FleetView, now: u64, needs: &CallRequirements, rng: &mut StdRng) -> ServerId {
     match view.choose(at(now), needs, &[], rng) {
         LocalOption::Free(choice) => choice.server,
         other => panic!("no server: {other:?}"),
     }
 }
 
-/// Drawn by level alone, a part's six requests met 5.7 of 50 servers in the mean; kept to
-/// its own, one.
+/// Guards against spreading a short part over many servers: with the level draw alone,
+/// its six requests went to 5.7 of 50 servers on average; with affinity they go to one.
 #[test]
-fn requests_for_a_short_part_meet_one_server_and_servers_are_loaded_evenly() {
+fn requests_with_a_short_shared_part_use_one_server_and_load_is_even() {
     let (mut view, mut rng) = (view(), StdRng::seed_from_u64(7));
     let mut servers: BTreeMap<u64, BTreeSet<ServerId>> = BTreeMap::new();
     let mut loads: BTreeMap<ServerId, u64> = BTreeMap::new();
-    for number in 0..PARTS * TURNS {
+    for number in 0..PARTS * REQUESTS_PER_PART {
         let needs = needs(number);
-        // Fifteen a second, as a VM of 60 has of 900.
+        // 15 requests per second, the share of one of 60 VMs at 900 per second.
         let server = choose(&mut view, number * 66, &needs, &mut rng);
         servers.entry(number % PARTS).or_default().insert(server);
         *loads.entry(server).or_default() += 1;
     }
-    let met: usize = servers.values().map(BTreeSet::len).sum();
-    let mean = met as f64 / PARTS as f64;
-    assert!(mean < 1.1, "a part met {mean} servers in the mean");
+    let used: usize = servers.values().map(BTreeSet::len).sum();
+    let mean = used as f64 / PARTS as f64;
+    assert!(mean < 1.1, "a part used {mean} servers on average");
     let most = loads.values().max().unwrap();
-    let usual = PARTS * TURNS / SERVERS as u64;
+    let expected = PARTS * REQUESTS_PER_PART / SERVERS as u64;
     assert!(
-        *most <= usual * 2,
-        "{most} requests where {usual} are usual"
+        *most <= expected * 2,
+        "{most} requests where {expected} are expected"
     );
 }
 
 struct BusyCase {
     name: &'static str,
-    /// Unread tokens of other VMs at the part's own server.
-    unread: u64,
-    is_kept: bool,
+    /// Tokens pending prefill that other VMs report for the part's owner.
+    prefill: u64,
+    is_owner_used: bool,
 }
 
 #[test]
-fn a_busy_owner_is_left() {
+fn a_busy_owner_is_not_used() {
     let cases = [
         BusyCase {
             name: "idle",
-            unread: 0,
-            is_kept: true,
+            prefill: 0,
+            is_owner_used: true,
         },
         BusyCase {
-            name: "a little busier than the others",
-            unread: 1500,
-            is_kept: true,
+            name: "slightly busier than the others",
+            prefill: 1500,
+            is_owner_used: true,
         },
         BusyCase {
-            name: "busier than reading anew costs",
-            unread: 60_000,
-            is_kept: false,
+            name: "busier than a repeated prefill costs",
+            prefill: 60_000,
+            is_owner_used: false,
         },
     ];
     for case in cases {
@@ -129,12 +131,12 @@
         let owner = choose(&mut view, 0, &needs, &mut rng);
         let work = WorkShare {
             requests: 1,
-            unread: UnreadTokens::of(3, case.unread),
-            memory: case.unread,
+            prefill: PrefillTokens::of(3, case.prefill),
+            memory: case.prefill,
             ..WorkShare::default()
         };
         view.server_mut(owner).set_others(at(10), work);
         let next = choose(&mut view, 20, &needs, &mut rng);
-        assert_eq!(next == owner, case.is_kept, "{}", case.name);
+        assert_eq!(next == owner, case.is_owner_used, "{}", case.name);
     }
 }
--- a/crates/fleet/tests/balance.rs
+++ b/crates/fleet/tests/balance.rs
@@ -1,4 +1,4 @@
-//! How much of a region's requests leaves it, by rates.
+//! Part of a region's requests that is forwarded, computed from request rates.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use onyxfall_fleet::{
-    AwaySearch, AwayTable, DecisionSwitch, DecisionSwitches, FleetView, RateKind, RoundTrips,
+    DecisionSwitch, DecisionSwitches, FleetView, RateKind, RemoteSearch, RemoteTable, RoundTrips,
     ServerRecord, ServiceLoad,
 };
 use onyxfall_types::{ServiceName, name_tag};
@@ -18,7 +18,7 @@
     "svc".parse().unwrap()
 }
 
-/// A region with two servers that do 400 requests a second together.
+/// View of a region with two servers that serve 400 requests per second together.
 fn view() -> FleetView {
     let mut view = FleetView::new(place("vm0", &[("c0", "r0")]));
     for server in 0..2 {
@@ -33,7 +33,7 @@
     let needs = needs();
     for attempt in 0..100 {
         view.start_attempt(at(attempt * 40), id, attempt, &needs);
-        view.note_answer(at(attempt * 40 + 30), id, attempt);
+        view.record_response(at(attempt * 40 + 30), id, attempt);
         let result = onyxfall_fleet::AttemptResult::Succeeded;
         view.end_attempt(at(attempt * 40 + 30), id, attempt, result, None);
     }
@@ -45,29 +45,29 @@
     offered: f64,
     relayed: f64,
     off: &'static [DecisionSwitch],
-    /// Part that leaves.
+    /// Expected part of the requests that is forwarded.
     overflow: f64,
 }
 
 #[test]
-fn what_a_region_cannot_serve_well_leaves_it() {
+fn requests_beyond_the_capacity_of_a_region_are_forwarded() {
     let cases = [
         RateCase {
-            name: "little is offered",
+            name: "low load",
             offered: 100.0,
             relayed: 0.0,
             off: &[],
             overflow: 0.0,
         },
         RateCase {
-            name: "twice of what can be done well",
+            name: "twice the load that can be served well",
             offered: 640.0,
             relayed: 0.0,
             off: &[],
             overflow: 0.5,
         },
         RateCase {
-            name: "other regions' requests take their part",
+            name: "requests of other regions use capacity",
             offered: 320.0,
             relayed: 80.0,
             off: &[],
@@ -86,9 +86,9 @@
         let policy = DecisionSwitches::default().policy();
         view.set_switches(DecisionSwitches::new(policy, case.off.iter().copied()));
         let now = at(100_000);
-        view.note_rate(now, &service(), RateKind::Offered);
-        view.set_told_rate(RateKind::Offered.tag("svc"), case.offered);
-        view.set_told_rate(RateKind::Relayed.tag("svc"), case.relayed);
+        view.record_request(now, &service(), RateKind::Offered);
+        view.set_peer_rate(RateKind::Offered.tag("svc"), case.offered);
+        view.set_peer_rate(RateKind::Relayed.tag("svc"), case.relayed);
         let overflow = view.overflow(now, &service());
         let error = (overflow - case.overflow).abs();
         assert!(error < 0.03, "{}: {overflow}", case.name);
@@ -96,8 +96,8 @@
 }
 
 #[test]
-fn spare_capacity_is_shared_and_never_exceeded_by_chance() {
-    let mut table = AwayTable::default();
+fn spare_capacity_is_shared_and_not_exceeded_on_average() {
+    let mut table = RemoteTable::default();
     let spare_of = [("r1", 100_000), ("r2", 50_000)];
     for (region, spare) in spare_of {
         let load = ServiceLoad {
@@ -107,18 +107,18 @@
             ..ServiceLoad::default()
         };
         let loads = BTreeMap::from([(name_tag("svc"), load)]);
-        table.hear(at(0), &region.parse().unwrap(), Duration::ZERO, loads);
+        table.apply(at(0), &region.parse().unwrap(), Duration::ZERO, loads);
     }
     let own = "r0".parse().unwrap();
     let (needs, trips) = (needs(), RoundTrips::default());
-    let search = AwaySearch {
+    let search = RemoteSearch {
         needs: &needs,
         service_tag: name_tag("svc"),
         own_region: &own,
         prefix_home: None,
         trips: &trips,
         work: Duration::from_millis(5),
-        work_at_home: Duration::from_millis(5),
+        work_with_prefix: Duration::from_millis(5),
         excluded: &[],
     };
     let mut rng = StdRng::seed_from_u64(3);
@@ -129,7 +129,7 @@
         let region = option.map(|option| option.region.to_string());
         *drawn.entry(region).or_default() += 1;
     }
-    // 300 requests a second too many: 100 and 50 can be taken, the rest stays.
+    // 300 requests per second in excess: 100 and 50 can be forwarded, the rest stays.
     let part = |region: Option<&str>| f64::from(drawn[&region.map(str::to_owned)]) / 3000.0;
     for (region, expected) in [(Some("r1"), 0.333), (Some("r2"), 0.167), (None, 0.5)] {
         let found = part(region);
--- a/crates/gateway/src/frames.rs
+++ b/crates/gateway/src/frames.rs
@@ -1,28 +1,28 @@
-//! Messages of the overlay as frames carry them.
+//! Conversion of the overlay's messages to and from their wire form.
 //!
-//! What does not make sense (an unknown data centre, no address, a relation of a later
-//! version) is left out here, so that the rest of the program meets typed values only.
+//! Invalid values (an unknown data centre, a missing address, a relation of a later version)
+//! are dropped here, so that the rest of the program handles typed values only.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
 use bytes::Bytes;
-use onyxfall_fleet::{LimitReports, ServerVotes, UnreadTokens, WorkShare};
+use onyxfall_fleet::{LimitReports, PrefillTokens, ServerVotes, WorkShare};
 use onyxfall_overlay::{
-    LinkRelation, OverlayUpdate, RecordVersion, RosterWord, ServerTag, VmCapacity, VmRecord,
-    VmStatus, WordScope, WorkEntry, WorkWord,
+    LinkRelation, OverlayUpdate, RecordVersion, RosterUpdate, ServerTag, UpdateScope, VmCapacity,
+    VmRecord, VmStatus, WorkEntry, WorkUpdate,
 };
-use onyxfall_suspects::{CrashNews, LifeNews, LifeTag, RequestNews, SuspectNews};
+use onyxfall_suspects::{CrashUpdate, InstanceTag, InstanceUpdate, RequestUpdate, SuspectUpdate};
 use onyxfall_types::{CenterName, Incarnation, RegionName};
 use onyxfall_wire::{
-    LostLifeEntry, ServerWorkEntry, SuspectEntry, VmEntry, VmUpdate, VmWord, WorkSet,
+    LostInstanceEntry, ServerWorkEntry, SuspectEntry, VmEntry, VmRosterUpdate, VmUpdate, WorkSet,
 };
 
-/// The regions of the data centres that the settings name.
+/// The region of each data centre in the settings.
 pub(crate) type CenterRegions = BTreeMap<CenterName, RegionName>;
 
-/// A VM as frames carry it.
+/// Converts a VM record to its wire form.
 pub(crate) fn vm_entry(record: &VmRecord) -> VmEntry {
     let ip = match record.address.ip() {
         IpAddr::V4(ip) => Bytes::copy_from_slice(&ip.octets()),
@@ -43,7 +43,8 @@
     }
 }
 
-/// The VM of an entry; none if a field is malformed or its data centre is unknown.
+/// Converts a VM entry received. Returns `None` if a field is malformed or its data centre is
+/// unknown.
 pub(crate) fn vm_record(entry: &VmEntry, regions: &CenterRegions) -> Option<VmRecord> {
     let ip = read_ip(&entry.ip)?;
     let address = |port: u32| Some(SocketAddr::new(ip, u16::try_from(port).ok()?));
@@ -74,24 +75,24 @@
     <[u8; 16]>::try_from(bytes).ok().map(IpAddr::from)
 }
 
-/// A message of the overlay as a frame carries it, without what the gateway adds.
+/// Converts an update of the overlay to its wire form, without the gateway's additions.
 pub(crate) fn wire_update(update: &OverlayUpdate) -> VmUpdate {
     VmUpdate {
         relation: update.relation.number(),
         record: update.record.as_ref().map(vm_entry),
-        word: update.word.as_ref().map(wire_word),
+        word: update.word.as_ref().map(wire_roster),
         work: update.work.as_ref().map(wire_work),
         is_warm: update.is_warm,
         ..VmUpdate::default()
     }
 }
 
-/// The message of the overlay in a frame; none if its relation is unknown.
+/// Extracts the overlay's update from a message. Returns `None` if its relation is unknown.
 pub(crate) fn overlay_update(update: &VmUpdate, regions: &CenterRegions) -> Option<OverlayUpdate> {
     let word = update
         .word
         .as_ref()
-        .and_then(|word| read_word(word, regions));
+        .and_then(|roster| read_roster(roster, regions));
     Some(OverlayUpdate {
         relation: LinkRelation::from_number(update.relation)?,
         record: update
@@ -104,25 +105,25 @@
     })
 }
 
-fn wire_word(word: &RosterWord) -> VmWord {
-    VmWord {
-        scope: word.scope.number(),
-        is_whole: word.is_whole,
-        vms: word.records.iter().map(vm_entry).collect(),
-        gone: word.gone.iter().map(ToString::to_string).collect(),
+fn wire_roster(roster: &RosterUpdate) -> VmRosterUpdate {
+    VmRosterUpdate {
+        scope: roster.scope.number(),
+        is_whole: roster.is_whole,
+        vms: roster.records.iter().map(vm_entry).collect(),
+        gone: roster.gone.iter().map(ToString::to_string).collect(),
     }
 }
 
-fn read_word(word: &VmWord, regions: &CenterRegions) -> Option<RosterWord> {
-    Some(RosterWord {
-        scope: WordScope::from_number(word.scope)?,
-        is_whole: word.is_whole,
-        records: word
+fn read_roster(roster: &VmRosterUpdate, regions: &CenterRegions) -> Option<RosterUpdate> {
+    Some(RosterUpdate {
+        scope: UpdateScope::from_number(roster.scope)?,
+        is_whole: roster.is_whole,
+        records: roster
             .vms
             .iter()
             .filter_map(|entry| vm_record(entry, regions))
             .collect(),
-        gone: word
+        gone: roster
             .gone
             .iter()
             .filter_map(|name| name.parse().ok())
@@ -130,7 +131,7 @@
     })
 }
 
-fn wire_work(work: &WorkWord) -> WorkSet {
+fn wire_work(work: &WorkUpdate) -> WorkSet {
     WorkSet {
         is_whole: work.is_whole,
         servers: work
@@ -139,7 +140,7 @@
             .map(|entry| ServerWorkEntry {
                 server: entry.server.0,
                 requests: entry.share.requests,
-                unread: entry.share.unread.as_slice().to_vec(),
+                unread: entry.share.prefill.as_slice().to_vec(),
                 memory: entry.share.memory,
                 flow: entry.share.flow,
                 good: entry.share.votes.good,
@@ -151,8 +152,8 @@
     }
 }
 
-fn read_work(work: &WorkSet) -> WorkWord {
-    WorkWord {
+fn read_work(work: &WorkSet) -> WorkUpdate {
+    WorkUpdate {
         is_whole: work.is_whole,
         entries: work
             .servers
@@ -161,7 +162,7 @@
                 server: ServerTag(entry.server),
                 share: WorkShare {
                     requests: entry.requests,
-                    unread: UnreadTokens::from_slice(&entry.unread),
+                    prefill: PrefillTokens::from_slice(&entry.unread),
                     memory: entry.memory,
                     flow: entry.flow,
                     votes: ServerVotes {
@@ -178,55 +179,59 @@
     }
 }
 
-/// Adds news of suspects to a message.
-pub(crate) fn wire_suspects(news: &SuspectNews, update: &mut VmUpdate) {
-    let requests = news.requests.iter();
+/// Adds changes of crash suspects to a message.
+pub(crate) fn wire_suspects(suspects: &SuspectUpdate, update: &mut VmUpdate) {
+    let requests = suspects.requests.iter();
     update.suspects = requests
         .map(|request| SuspectEntry {
             fingerprint: Bytes::copy_from_slice(request.fingerprint.as_bytes()),
-            lives: request.crashes.iter().map(|c| c.life.number()).collect(),
+            lives: request
+                .crashes
+                .iter()
+                .map(|c| c.instance.number())
+                .collect(),
             ages_ms: request.crashes.iter().map(|c| wire_millis(c.age)).collect(),
             survivals: request.crashes.iter().map(|c| c.survivals).collect(),
             good_runs: request.good_runs,
         })
         .collect();
-    let lives = news.lives.iter();
-    update.lost_lives = lives
-        .map(|life| LostLifeEntry {
-            life: life.life.number(),
-            survivals: life.survivals,
-            lost_ms: life.lost.map(wire_millis),
+    let instances = suspects.instances.iter();
+    update.lost_lives = instances
+        .map(|instance| LostInstanceEntry {
+            life: instance.instance.number(),
+            survivals: instance.survivals,
+            lost_ms: instance.lost.map(wire_millis),
         })
         .collect();
 }
 
-/// News of suspects in a message, and the number of entries that make no sense.
-pub(crate) fn read_suspects(update: &VmUpdate) -> (SuspectNews, u64) {
-    let requests: Vec<RequestNews> = update.suspects.iter().filter_map(read_suspect).collect();
+/// Extracts the changes of crash suspects from a message, and the number of malformed entries.
+pub(crate) fn read_suspects(update: &VmUpdate) -> (SuspectUpdate, u64) {
+    let requests: Vec<RequestUpdate> = update.suspects.iter().filter_map(read_suspect).collect();
     let malformed = update.suspects.len() - requests.len();
-    let lives = update.lost_lives.iter().map(|entry| LifeNews {
-        life: LifeTag::from_number(entry.life),
+    let instances = update.lost_lives.iter().map(|entry| InstanceUpdate {
+        instance: InstanceTag::from_number(entry.life),
         survivals: entry.survivals,
         lost: entry.lost_ms.map(read_millis),
     });
-    let news = SuspectNews {
+    let suspects = SuspectUpdate {
         requests,
-        lives: lives.collect(),
+        instances: instances.collect(),
     };
-    (news, malformed as u64)
+    (suspects, malformed as u64)
 }
 
-fn read_suspect(entry: &SuspectEntry) -> Option<RequestNews> {
-    let lives = entry.lives.len();
-    if lives != entry.ages_ms.len() || lives != entry.survivals.len() {
+fn read_suspect(entry: &SuspectEntry) -> Option<RequestUpdate> {
+    let instances = entry.lives.len();
+    if instances != entry.ages_ms.len() || instances != entry.survivals.len() {
         return None;
     }
     let crashes = entry.lives.iter().zip(&entry.ages_ms).zip(&entry.survivals);
-    Some(RequestNews {
+    Some(RequestUpdate {
         fingerprint: entry.fingerprint.as_ref().try_into().ok()?,
         crashes: crashes
-            .map(|((life, age), survivals)| CrashNews {
-                life: LifeTag::from_number(*life),
+            .map(|((instance, age), survivals)| CrashUpdate {
+                instance: InstanceTag::from_number(*instance),
                 age: read_millis(*age),
                 survivals: *survivals,
             })
@@ -235,7 +240,7 @@
     })
 }
 
-/// A time as messages carry it, in milliseconds.
+/// A duration in milliseconds, as messages carry it.
 pub(crate) fn wire_millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/gateway/src/report.rs
+++ b/crates/gateway/src/report.rs
@@ -1,4 +1,4 @@
-//! The last line of a request's log, and its count.
+//! Final log line and metrics of a request.
 
 use std::time::Duration;
 
@@ -9,11 +9,16 @@
 use crate::serve::CallProgress;
 
 impl Gateway {
-    /// Logs and counts the end of a request that a server answered.
-    pub(crate) fn tell_end(&self, call: &CallContext, progress: &CallProgress, outcome: &str) {
+    /// Logs and counts the end of a request that a server responded to.
+    pub(crate) fn log_request_end(
+        &self,
+        call: &CallContext,
+        progress: &CallProgress,
+        outcome: &str,
+    ) {
         let age = call.age();
-        self.note_own_change();
-        self.metrics.note_end(&call.route, outcome, age);
+        self.record_own_change();
+        self.metrics.record_end(&call.route, outcome, age);
         log::info!(
             request = call.request_id.as_str(),
             route = call.route.as_str(),
@@ -36,8 +41,8 @@
         );
     }
 
-    /// Logs and counts a request that got no server's answer.
-    pub(crate) fn tell_refusal(
+    /// Logs and counts a request that is rejected without a server's response.
+    pub(crate) fn log_refusal(
         &self,
         call: &CallContext,
         progress: &CallProgress,
@@ -45,7 +50,7 @@
     ) {
         let age = call.age();
         self.metrics
-            .note_end(&call.route, error.reason.as_str(), age);
+            .record_end(&call.route, error.reason.as_str(), age);
         log::warn!(
             request = call.request_id.as_str(),
             route = call.route.as_str(),
@@ -63,7 +68,7 @@
     }
 }
 
-/// A time as logs tell it.
+/// A duration in milliseconds, for log fields.
 pub(crate) fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/load/src/arrivals.rs
+++ b/crates/load/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! Poisson arrivals, planned before the run so that a seed fixes them.
+//! Poisson arrivals, drawn before the run so that they depend on the seed alone.
 
 use std::time::Duration;
 
@@ -10,19 +10,19 @@
 /// A request to send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannedArrival {
-    /// When, since the start.
+    /// Time of arrival, from the start of the load.
     pub at: Duration,
-    /// Index of the region.
+    /// Index of the region in the scenario.
     pub region: usize,
-    /// Index of the kind.
+    /// Index of the request kind in the scenario.
     pub kind: usize,
     /// Number of the prompt prefix.
     pub prefix: u64,
-    /// Draw that picks the entry.
+    /// Index of the entry in the region.
     pub entry: usize,
 }
 
-/// Plans every arrival of a scenario, in order of time.
+/// Draws the arrivals of a scenario, in order of time.
 ///
 /// ```
 /// use onyxfall_load::{parse_scenario, plan_arrivals};
@@ -44,7 +44,8 @@
     arrivals
 }
 
-/// Draws at the peak rate and keeps each draw with the chance of its moment.
+/// Draws arrivals of one kind in one region by thinning: draws at the peak rate, and keeps
+/// each draw with the probability of the rate at its time over the peak rate.
 fn plan_stream(
     scenario: &LoadScenario,
     region: usize,
@@ -52,8 +53,8 @@
     mut rng: StdRng,
     arrivals: &mut Vec<PlannedArrival>,
 ) {
-    let rush = &scenario.regions[region].rush;
-    let peak = scenario.kinds[kind].rate.per_second() * rush.peak();
+    let rate_shape = &scenario.regions[region].rate_shape;
+    let peak = scenario.kinds[kind].rate.per_second() * rate_shape.peak();
     if peak <= 0.0 {
         return;
     }
@@ -64,7 +65,7 @@
         if at >= scenario.duration {
             return;
         }
-        let kept = rng.random::<f64>() < rush.factor(at) / rush.peak();
+        let kept = rng.random::<f64>() < rate_shape.factor(at) / rate_shape.peak();
         let prefix = rng.random_range(0..scenario.kinds[kind].prefixes);
         let entry = rng.random_range(0..scenario.regions[region].entries.len());
         if kept {
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -1,4 +1,4 @@
-//! Time of one decision at the planned size, and its slope over the fleet.
+//! Time of one decision at the planned size, and how it grows with the fleet.
 //!
 //! The data centre has 135 servers; the fleet around it grows to 12,000 servers
 //! in 89 data centres of 44 regions, with 37 models.
@@ -71,7 +71,7 @@
             grant: 1_000_000,
         };
         let models = bundle.models.keys().map(digest).collect();
-        router.hear_center(
+        router.receive_center(
             Moment::ZERO,
             &CenterDigest {
                 center,
@@ -97,7 +97,7 @@
 }
 
 fn end(router: &mut RequestRouter, step: &RouteStep) {
-    if let RouteStep::Run { attempt, .. } | RouteStep::Away { attempt, .. } = step {
+    if let RouteStep::Run { attempt, .. } | RouteStep::Forward { attempt, .. } = step {
         let elapsed = Duration::from_millis(500);
         let outcome = AttemptOutcome::Success;
         router.end(
