--- a/crates/fleet/src/signals.rs
+++ b/crates/fleet/src/signals.rs
@@ -89,7 +89,7 @@
     /// # });
     /// # let record = ServerRecord {
     /// #     name: "s1".parse().unwrap(),
-    /// #     born: StartTime::UNKNOWN,
+    /// #     started_at: StartTime::UNKNOWN,
     /// #     service: "svc".parse().unwrap(),
     /// #     version: None,
     /// #     address: "10.0.0.1:80".parse().unwrap(),
--- a/crates/slopes/src/bench.rs
+++ b/crates/slopes/src/bench.rs
@@ -1,4 +1,4 @@
-//! Test bench: a deployment of many entries in one process, on loopback, with a stub of
+//! A test deployment of many entries in one process, on loopback, with a stub of
 //! the platform and a stub for each backend server.
 
 use std::fmt::Write as _;
